--- a/internal/core/fleet/account.go
+++ b/internal/core/fleet/account.go
@@ -1,20 +1,22 @@
 package fleet
 
-// Account counts what the users measure at one moment.
+// Account summarizes the availability of one data centre at one moment. It is
+// encoded as JSON under its Go field names.
 type Account struct {
-	// Down is how many declared replicas do not serve, by declared group.
+	// Down is the number of declared replicas that do not serve, by declared
+	// group.
 	Down map[string]int
-	// Serving is how many replicas serve, by declared group.
+	// Serving is the number of replicas that serve, by declared group.
 	Serving map[string]int
-	// Stranded is how many powered VMs belong to no serving group.
+	// Stranded is the number of powered VMs that belong to no serving group.
 	Stranded int
-	// Whole names the groups that serve.
+	// Whole lists the IDs of the groups that serve.
 	Whole []string
-	// Powered is how many VMs answer.
+	// Powered is the number of VMs that answer probes.
 	Powered int
 }
 
-// Count returns the account of a data center.
+// Count computes the account of the data centre that in describes.
 func Count(in Input) Account {
 	pl := newPlanner(in)
 	ac := Account{Down: make(map[string]int), Serving: make(map[string]int)}
--- a/internal/core/fleet/adjust.go
+++ b/internal/core/fleet/adjust.go
@@ -8,7 +8,7 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// retire drains groups that are no longer declared for this data center.
+// retire drains groups that are no longer declared for this data centre.
 func (pl *planner) retire() {
 	undeclared := pl.groups(func(gr Group) bool {
 		spec, ok := pl.in.Config.Groups[gr.Spec]
@@ -19,13 +19,13 @@
 	}
 }
 
-// adjust brings the number and version of a declared group's replicas to
-// what is declared. It changes at most one replica of each group at a time
-// where that costs capacity in use.
+// adjust reconciles the number and version of a declared group's replicas with
+// the declaration. Where a change costs capacity in use, at most one replica of
+// each group changes at a time.
 func (pl *planner) adjust(spec intent.Group) {
 	of := func(gr Group) bool { return gr.Spec == spec.Name }
 	all := pl.groups(func(gr Group) bool { return of(gr) && gr.DrainingSince.IsZero() })
-	var current, old []located
+	var current, old []groupRef
 	for _, lo := range all {
 		if pl.current(spec, *lo.group()) {
 			current = append(current, lo)
@@ -45,17 +45,20 @@
 		pl.roll(spec, old)
 	}
 	for _, lo := range current {
-		pl.adapt(spec, lo)
+		pl.updateAdapters(spec, lo)
 	}
 }
 
-// current tells whether gr already is what spec declares, adapters aside.
+// current reports whether gr matches the model, version, size and role that
+// spec declares. Adapters are not compared: updateAdapters changes them in
+// place.
 func (pl *planner) current(spec intent.Group, gr Group) bool {
 	mo := pl.in.Config.Models[spec.Model]
 	return gr.Model == mo.Name && gr.Version == mo.Version && gr.Size == mo.VMs && gr.Role == spec.Role
 }
 
-func (pl *planner) allSettled(found []located) bool {
+// allSettled reports whether all given groups are settled.
+func (pl *planner) allSettled(found []groupRef) bool {
 	for _, lo := range found {
 		if !pl.settled(*lo.group()) {
 			return false
@@ -64,7 +67,8 @@
 	return true
 }
 
-// form assigns free VMs to one more replica.
+// form assigns free VMs to one more replica. It reports whether a domain had
+// enough of them.
 func (pl *planner) form(spec intent.Group) bool {
 	name, ok := pl.place(spec)
 	if !ok {
@@ -73,7 +77,7 @@
 	do := pl.work[name]
 	mo := pl.in.Config.Models[spec.Model]
 	gr := Group{ID: pl.unusedID(spec, do), Spec: spec.Name, Model: mo.Name, Version: mo.Version,
-		Role: spec.Role, Adapters: mo.Adapters, Fence: unnumbered, Size: mo.VMs}
+		Role: spec.Role, Adapters: mo.Adapters, Fence: fenceUnassigned, Size: mo.VMs}
 	for _, vm := range pl.warmFirst(pl.freeIn(name), gr)[:pl.in.Config.Size(spec)] {
 		gr.Members = append(gr.Members, pl.member(vm, gr.ID))
 	}
@@ -82,7 +86,7 @@
 	return true
 }
 
-// warmFirst sorts VMs that have the group's weights to the front.
+// warmFirst sorts VMs that already hold the group's weights to the front.
 func (pl *planner) warmFirst(free []VM, gr Group) []VM {
 	slices.SortStableFunc(free, func(a, b VM) int {
 		return cmp.Compare(toInt(!pl.warm(a, gr)), toInt(!pl.warm(b, gr)))
@@ -90,13 +94,15 @@
 	return free
 }
 
+// warm reports whether the VM already holds the weights of gr.
 func (pl *planner) warm(vm VM, gr Group) bool {
 	re := pl.in.Seen[vm.Name].Report
 	return re.Model == gr.Model && re.Version == gr.Version
 }
 
-// unusedID names a new group for its declaration, its domain and the write
-// that makes it; groups of one write are numbered.
+// unusedID returns an ID for a new group, made from its declaration, its
+// domain, the sequence number of the write that creates it, and a counter for
+// groups of the same write.
 func (pl *planner) unusedID(spec intent.Group, do *Domain) string {
 	for num := 1; ; num++ {
 		id := fmt.Sprintf("%s.%s.%d-%d", spec.Name, do.Name, do.Sequence+1, num)
@@ -106,15 +112,16 @@
 	}
 }
 
-// shrink drains replicas that are too many: outdated ones first, then those
-// that do not serve.
-func (pl *planner) shrink(current, old []located, num int) {
-	slices.SortStableFunc(current, func(a, b located) int {
+// shrink drains num surplus replicas: outdated ones first, then those that do
+// not serve.
+func (pl *planner) shrink(current, old []groupRef, num int) {
+	slices.SortStableFunc(current, func(a, b groupRef) int {
 		return cmp.Compare(toInt(pl.serving(*a.group())), toInt(pl.serving(*b.group())))
 	})
 	candidates := append(old, current...)
 	if len(old) > 0 && !pl.allSettled(current) {
-		// A surge replica is not serving yet: what it replaces stays.
+		// The surge replica does not serve yet, so the replica that it replaces
+		// stays.
 		return
 	}
 	for _, lo := range candidates[:num] {
@@ -129,15 +136,17 @@
 	return 0
 }
 
-func (pl *planner) drain(lo located) {
+// drain marks a group as draining from now on.
+func (pl *planner) drain(lo groupRef) {
 	lo.group().DrainingSince = pl.in.Now
 	pl.changed[lo.do.Name] = true
 }
 
-// roll replaces one outdated replica: by a new one first where there is room,
-// else by draining one, and that only while all others serve.
-func (pl *planner) roll(spec intent.Group, old []located) {
-	if pl.form(spec) || pl.roomSoon(spec) {
+// roll replaces one outdated replica. Where there is room it forms the new
+// replica first. Otherwise it drains an outdated one; adjust calls it only
+// while all current replicas serve.
+func (pl *planner) roll(spec intent.Group, old []groupRef) {
+	if pl.form(spec) || pl.roomAfterReleases(spec) {
 		return
 	}
 	for _, lo := range old {
@@ -149,9 +158,9 @@
 	pl.drain(old[0])
 }
 
-// roomSoon tells whether a domain has room for spec once the VMs that were
-// told to leave their former group have done so.
-func (pl *planner) roomSoon(spec intent.Group) bool {
+// roomAfterReleases reports whether a domain will have room for spec once all
+// unassigned VMs have left their former groups.
+func (pl *planner) roomAfterReleases(spec intent.Group) bool {
 	room := make(map[string]int)
 	for _, vm := range pl.in.VMs {
 		_, owned := pl.owner[vm.Name]
@@ -168,9 +177,9 @@
 	return false
 }
 
-// adapt puts changed adapters into the assignment. The ring stays as it is:
-// engines load adapters while they serve.
-func (pl *planner) adapt(spec intent.Group, lo located) {
+// updateAdapters writes changed adapters into the assignment. The ring stays as
+// it is, because engines load adapters while they serve.
+func (pl *planner) updateAdapters(spec intent.Group, lo groupRef) {
 	gr := lo.group()
 	adapters := pl.in.Config.Models[spec.Model].Adapters
 	if slices.Equal(gr.Adapters, adapters) {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,7 +1,8 @@
-// Package fleet decides which VMs form which groups. The whole assignment of
-// a fabric domain is one value under compare-and-swap, so that no VM can be
-// in two groups at once whoever believes to be the steward. Orders to engines
-// follow only from an assignment that was written before.
+// Package fleet decides which VMs form which groups. The whole assignment of a
+// fabric domain is one value that is written by compare-and-swap, so a VM
+// cannot be in two groups even if several processes act as the steward at once.
+// Orders to engines are derived only from assignments that have already been
+// written.
 package fleet
 
 import (
@@ -13,15 +14,16 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// Domain is the assignment of one fabric domain, the value of its key.
+// Domain is the assignment of one fabric domain. It is stored as the value of
+// one key.
 type Domain struct {
 	Name       string `json:"name"`
 	DataCenter string `json:"data-center"`
 	// Epoch is the epoch of the steward that wrote last. A new steward writes
-	// its own into every domain before it acts, so that the writes of a
-	// predecessor that woke up late meet another revision and fail.
+	// its epoch into every domain before it acts, so that delayed writes of a
+	// predecessor find another revision and fail.
 	Epoch uint64 `json:"epoch"`
-	// Sequence grows by one with every write; fencing numbers come from it.
+	// Sequence grows by one with every write. Fencing tokens are taken from it.
 	Sequence uint64  `json:"sequence"`
 	Groups   []Group `json:"groups"`
 }
@@ -35,51 +37,62 @@
 	Version  string      `json:"version"`
 	Role     intent.Role `json:"role"`
 	Adapters []string    `json:"adapters,omitempty"`
-	// Fence is the fencing number of the orders for this group.
+	// Fence is the fencing token of the orders for this group.
 	Fence uint64 `json:"fence"`
-	// Size is how many members serve; the others are spares.
+	// Size is the number of members that serve. The other members are spares.
 	Size    int      `json:"size"`
 	Members []Member `json:"members"`
-	// DrainingSince is when the group stopped taking new requests; zero
-	// while it takes them.
+	// DrainingSince is the time at which the group stopped taking new requests.
+	// It is zero while the group takes them.
 	DrainingSince time.Time `json:"draining-since,omitzero"`
 }
 
-// Member is a VM of a group at the incarnation that was assigned.
+// Member is a VM of a group, together with the incarnation that was assigned.
 type Member struct {
-	VM          string `json:"vm"`
-	Address     string `json:"address"`
+	VM      string `json:"vm"`
+	Address string `json:"address"`
+	// Incarnation identifies one run of the VM; it changes when the VM
+	// restarts.
 	Incarnation string `json:"incarnation"`
 }
 
-// Report is what the engine on a VM says of itself.
+// Report is the state that the engine on a VM reports about itself.
 type Report struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
 	Group       string `json:"group,omitempty"`
-	Fence       uint64 `json:"fence,omitempty"`
-	Turn        uint64 `json:"turn,omitempty"`
-	// Ring names the VMs that serve together, the leader first.
+	// Fence and Turn are the fencing token and the ring generation of the last
+	// accepted order. Engines that check fencing refuse orders with a lower
+	// pair.
+	Fence uint64 `json:"fence,omitempty"`
+	Turn  uint64 `json:"turn,omitempty"`
+	// Ring lists the VMs that serve together, the leader first.
 	Ring     []string    `json:"ring,omitempty"`
 	Model    string      `json:"model,omitempty"`
 	Version  string      `json:"version,omitempty"`
 	Role     intent.Role `json:"role,omitempty"`
 	Adapters []string    `json:"adapters,omitempty"`
-	// Ready means that the weights are loaded and the ring is joined.
+	// Ready means that the weights are loaded and the engine has joined the
+	// ring.
 	Ready bool `json:"ready,omitempty"`
 	// Leaving means that the VM will stop soon.
 	Leaving bool `json:"leaving,omitempty"`
 	Load    Load `json:"load"`
 }
 
-// Load is an engine's own account of its work. It lags.
+// Load is the work that an engine reports for itself. The figures lag behind
+// its actual work.
 type Load struct {
-	PendingTokens  int64 `json:"pending-tokens"`
+	// PendingTokens is the number of tokens still to be processed.
+	PendingTokens int64 `json:"pending-tokens"`
+	// ResidentTokens is the number of tokens held in memory.
 	ResidentTokens int64 `json:"resident-tokens"`
-	Requests       int   `json:"requests"`
+	// Requests is the number of unfinished requests.
+	Requests int `json:"requests"`
 }
 
-// Same tells whether two reports differ in nothing but load.
+// Same reports whether two reports of one VM are equal apart from the role and
+// the token counts of Load.
 func (re Report) Same(other Report) bool {
 	return re.Incarnation == other.Incarnation && re.Group == other.Group && re.Fence == other.Fence &&
 		re.Turn == other.Turn && re.Model == other.Model && re.Version == other.Version &&
@@ -87,43 +100,49 @@
 		slices.Equal(re.Ring, other.Ring) && slices.Equal(re.Adapters, other.Adapters)
 }
 
-// VM is an entry of the platform's list. The list lags.
+// VM is an entry of the platform's list, which lags behind the actual state.
 type VM struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Domain  string `json:"domain"`
-	Leaving bool   `json:"leaving,omitempty"`
+	// Leaving means that the VM will be stopped soon.
+	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Order tells an engine what to do. It is one of Join, Release and Prepare.
+// Order is an instruction to an engine. It is one of Join, Release and Prepare.
 type Order interface {
-	// Target is the VM that the order is for.
+	// Target returns the VM that the order is for.
 	Target() VM
 	isOrder()
 }
 
-// Join makes a VM a member of a group: it loads what it lacks and joins Ring.
-// A VM of the group that is not in Ring loads the weights and stands by.
+// Join makes a VM a member of a group. The VM loads the weights it lacks and
+// joins Ring. A VM of the group that is not in Ring loads the weights and
+// remains a spare.
 type Join struct {
 	VM          VM
 	Incarnation string
 	Group       Group
-	Ring        []Member
-	Turn        uint64
-	// Loads says that the VM has to fetch the weights first.
+	// Ring lists the members that serve together, Turn is the generation of
+	// that choice.
+	Ring []Member
+	Turn uint64
+	// Loads means that the VM has to fetch the weights first.
 	Loads bool
 }
 
-// Release makes a VM leave any group and be free.
+// Release makes a VM leave any group, after which it is free.
 type Release struct {
 	VM          VM
 	Incarnation string
-	Fence       uint64
-	Turn        uint64
+	// Fence and Turn are above those of the order that the VM followed before,
+	// compared as a pair.
+	Fence uint64
+	Turn  uint64
 }
 
-// Prepare makes a free VM load weights ahead, so that it can take a lost
-// member's place without the time of a load. The VM stays free.
+// Prepare makes a free VM load weights ahead of time, so that it can replace a
+// lost member without a weight load. The VM stays free.
 type Prepare struct {
 	VM          VM
 	Incarnation string
@@ -146,25 +165,26 @@
 func (Join) isOrder()    {}
 func (Release) isOrder() {}
 
-// Check verifies the invariants of one value: no VM twice, whole groups, no
-// fencing number from the future.
+// Check verifies the invariants of one assignment: each VM and each group ID
+// occurs once, every group has at least Size members, and no fencing token is
+// above Sequence.
 func (do Domain) Check() error {
 	owner := make(map[string]string)
 	ids := make(map[string]bool)
 	for _, gr := range do.Groups {
 		if ids[gr.ID] {
-			return eris.Errorf("group %s stands twice", gr.ID)
+			return eris.Errorf("duplicate group ID %s", gr.ID)
 		}
 		ids[gr.ID] = true
 		if gr.Size < 1 || len(gr.Members) < gr.Size {
-			return eris.Errorf("group %s has %d members of %d", gr.ID, len(gr.Members), gr.Size)
+			return eris.Errorf("group %s has %d members, want at least %d", gr.ID, len(gr.Members), gr.Size)
 		}
 		if gr.Fence > do.Sequence {
-			return eris.Errorf("group %s has fence %d above sequence %d", gr.ID, gr.Fence, do.Sequence)
+			return eris.Errorf("group %s has fencing token %d, above sequence %d", gr.ID, gr.Fence, do.Sequence)
 		}
 		for _, me := range gr.Members {
 			if other, ok := owner[me.VM]; ok {
-				return eris.Errorf("VM %s is in %s and %s", me.VM, other, gr.ID)
+				return eris.Errorf("VM %s is a member of groups %s and %s", me.VM, other, gr.ID)
 			}
 			owner[me.VM] = gr.ID
 		}
@@ -172,7 +192,7 @@
 	return nil
 }
 
-// Clone returns a deep copy.
+// Clone returns a copy that shares neither groups nor members with do.
 func (do Domain) Clone() Domain {
 	next := do
 	next.Groups = slices.Clone(do.Groups)
@@ -182,7 +202,7 @@
 	return next
 }
 
-// Member returns the member on that VM.
+// Member returns the member that runs on the given VM.
 func (gr Group) Member(vm string) (Member, bool) {
 	for _, me := range gr.Members {
 		if me.VM == vm {
@@ -192,8 +212,8 @@
 	return Member{}, false
 }
 
-// Serves tells whether the report is that of a member that serves gr in ring
-// at the assigned incarnation and version.
+// Serves reports whether re comes from a member of gr that serves in ring at
+// the assigned incarnation, fencing token, model and version.
 func (re Report) Serves(gr Group, ring []string) bool {
 	me, ok := gr.Member(re.VM)
 	return ok && re.Incarnation == me.Incarnation && re.Group == gr.ID && re.Fence == gr.Fence &&
@@ -201,8 +221,9 @@
 		re.Ready && !re.Leaving && slices.Equal(re.Ring, ring)
 }
 
-// Whole returns the ring of gr if report of every ring member, as found by
-// find, shows it serving in the same ring of gr's size.
+// Whole returns the ring in which gr serves. A ring serves if it has gr.Size
+// distinct members and the report of each of them, as returned by find, shows
+// it serving in that ring.
 func (gr Group) Whole(find func(vm string) (Report, bool)) ([]string, bool) {
 	for _, me := range gr.Members {
 		re, ok := find(me.VM)
@@ -216,6 +237,8 @@
 	return nil, false
 }
 
+// ringServes reports whether the VMs of ring are distinct and all report to
+// serve gr in it.
 func (gr Group) ringServes(ring []string, find func(vm string) (Report, bool)) bool {
 	for i, vm := range ring {
 		re, ok := find(vm)
--- a/internal/core/fleet/plan.go
+++ b/internal/core/fleet/plan.go
@@ -9,101 +9,115 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// Timing of the planner.
+// Timing and thresholds of the planner.
 const (
-	// LossGrace is how long a VM must fail to answer before its place in a
-	// group is given to another.
+	// LossGrace is how long a VM must fail to answer before it is replaced in
+	// its group.
 	LossGrace = 3 * time.Second
-	// OrderInterval is the pause before an order is sent to a VM again.
+	// OrderInterval is the minimum time between two orders to the same VM.
 	OrderInterval = 2 * time.Second
-	// DrainLimit is how long a draining group may finish its requests.
+	// DrainLimit is how long a draining group may take to finish its requests.
 	DrainLimit = 5 * time.Minute
-	// A load is given up, and ordered again, after loadPatience times its usual
-	// time and minLoadPatience: the weight store may make engines wait.
-	loadPatience    = 3
-	minLoadPatience = 10 * time.Second
-	// blindShare is the share of VMs that may fail at once before the planner
-	// suspects its own connection rather than the VMs.
-	blindShare = 0.6
-	// turnBits leaves room for re-formed rings within one steward's epoch.
-	turnBits = 20
+	// A weight load times out, and is ordered again, after loadTimeoutFactor
+	// times the model's load time plus loadTimeoutMargin, because the weight
+	// store may queue engines.
+	loadTimeoutFactor = 3
+	loadTimeoutMargin = 10 * time.Second
+	// isolationShare is the share of VMs above which simultaneous failures are
+	// attributed to the steward's own connection rather than to the VMs.
+	isolationShare = 0.6
+	// generationBits is the number of low bits of a ring generation that count
+	// re-formed rings within one steward's epoch. The epoch is in the bits
+	// above.
+	generationBits = 20
 )
 
-// Sighting is what is known of a VM from direct evidence.
+// Sighting is the state of a VM as observed by direct probes.
 type Sighting struct {
 	Report Report
-	// At is when the last answered probe was sent; zero if none was.
+	// At is the time at which the last answered probe was sent. It is zero if
+	// no probe was answered.
 	At time.Time
-	// FailingSince is when probes began to fail; zero while they succeed.
+	// FailingSince is the time at which probes began to fail. It is zero while
+	// they succeed.
 	FailingSince time.Time
 }
 
-// Input is everything a plan depends on.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Now        time.Time
 	DataCenter string
 	Config     *intent.Config
-	// VMs is the platform's list for this data center.
+	// VMs is the platform's list for this data centre.
 	VMs []VM
-	// Domains holds the written assignments by name.
+	// Domains holds the written assignments by domain name.
 	Domains map[string]Domain
-	// Seen holds the sightings by VM.
+	// Seen holds the latest observation of each VM, by VM name.
 	Seen map[string]Sighting
-	// Ordered tells when each VM was last sent an order.
+	// Ordered holds the time of the last order to each VM, by VM name.
 	Ordered map[string]time.Time
-	// ServingSince tells since when each group has been whole.
+	// ServingSince holds the time since which each group has been complete, by
+	// group ID.
 	ServingSince map[string]time.Time
 	Epoch        uint64
-	// LoadBudget is how many weight loads may start now.
+	// LoadBudget is the number of weight loads that may start now.
 	LoadBudget int
-	// DrainAfter is how long a draining group may still be sent requests by a
-	// daemon that has not heard of it.
+	// DrainAfter is how long a daemon that has not yet seen that a group drains
+	// may still send it requests.
 	DrainAfter time.Duration
-	// Policy selects the decisions; the zero value is the product's own.
+	// Policy selects the placement and repair policy. The zero value is the one
+	// used in production.
 	Policy Policy
 }
 
-// Policy selects between the planner's own decisions and the simple baseline
-// that they are measured against.
+// Policy selects between the planner's production policy and the baseline that
+// it is measured against.
 type Policy int
 
-// Policies.
+// Placement and repair policies.
 const (
-	// Repairing replaces single members in place and keeps free VMs spread.
+	// Repairing replaces lost members in place and keeps free VMs spread over
+	// the domains.
 	Repairing Policy = iota
-	// FirstFit dissolves a group that lost a member and forms it again in the
-	// first domain with room. It is the baseline.
+	// FirstFit is the baseline. It dissolves a group that lost a member and
+	// forms it again in the first domain with room.
 	FirstFit
 )
 
-// Output is the plan: assignments to write, and orders that follow from
-// assignments written before.
+// Output is the plan: the assignments to write, and the orders that follow from
+// assignments written earlier.
 type Output struct {
 	Writes []Domain
 	Orders []Order
 }
 
-// planner carries one call of Plan.
+// planner holds the state of one call of Plan.
 type planner struct {
-	in      Input
-	vms     map[string]VM
-	work    map[string]*Domain
+	in Input
+	// vms holds the platform's list by VM name.
+	vms map[string]VM
+	// work holds the working copies of the assignments by domain name.
+	work map[string]*Domain
+	// changed holds the names of the domains to write.
 	changed map[string]bool
-	owner   map[string]string
-	names   []string
-	out     Output
+	// owner maps VM names to the IDs of their groups.
+	owner map[string]string
+	// names lists the domains in sorted order.
+	names []string
+	out   Output
 }
 
-// Plan compares the declared groups with the written assignments and with
-// what the VMs report. It is level-triggered: called again with the same
-// state it returns the same plan, so a lost order or write needs no memory.
+// Plan compares the declared groups with the written assignments and with the
+// reports of the VMs. It is level-triggered: for the same state it returns the
+// same plan, so lost orders and failed writes are issued again without being
+// remembered.
 func Plan(in Input) Output {
 	pl := newPlanner(in)
 	for _, name := range pl.names {
 		pl.order(in.Domains[name])
 	}
 	pl.releaseStray()
-	if pl.blind() {
+	if pl.isolated() {
 		return pl.out
 	}
 	pl.removeDrained()
@@ -144,19 +158,20 @@
 	return pl
 }
 
-// blind tells whether so many VMs fail at once that this steward's own
-// connection is the likelier cause. A cut steward must not dissolve groups
-// that serve everybody else.
-func (pl *planner) blind() bool {
+// isolated reports whether so many VMs fail at once that this steward's own
+// connection is the likelier cause. A steward that is cut off must not dissolve
+// groups that still serve others.
+func (pl *planner) isolated() bool {
 	failing := 0
 	for name := range pl.vms {
 		if !pl.in.Seen[name].FailingSince.IsZero() {
 			failing++
 		}
 	}
-	return len(pl.vms) > 1 && float64(failing) > blindShare*float64(len(pl.vms))
+	return len(pl.vms) > 1 && float64(failing) > isolationShare*float64(len(pl.vms))
 }
 
+// report returns the latest report of a VM that answers probes.
 func (pl *planner) report(vm string) (Report, bool) {
 	si := pl.in.Seen[vm]
 	if si.At.IsZero() || !si.FailingSince.IsZero() {
@@ -165,7 +180,8 @@
 	return si.Report, true
 }
 
-// lost tells whether a member can no longer serve at its incarnation.
+// lost reports whether a member can no longer serve at its assigned
+// incarnation.
 func (pl *planner) lost(me Member) bool {
 	si, ok := pl.in.Seen[me.VM]
 	if !ok {
@@ -181,8 +197,9 @@
 	return pl.vms[vm].Leaving || pl.in.Seen[vm].Report.Leaving
 }
 
-// free tells whether a VM may be assigned: it answers, is in no group by the
-// written assignment and by its own word, and stays.
+// free reports whether a VM may be assigned: it answers, it is in no group
+// according to both the written assignment and its own report, and it is not
+// leaving.
 func (pl *planner) free(vm VM) bool {
 	re, ok := pl.report(vm.Name)
 	_, owned := pl.owner[vm.Name]
@@ -199,7 +216,7 @@
 	return vms
 }
 
-// member makes a free VM a member and takes it out of the free ones.
+// member makes a free VM a member of a group and marks it as owned.
 func (pl *planner) member(vm VM, group string) Member {
 	pl.owner[vm.Name] = group
 	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Seen[vm.Name].Report.Incarnation}
@@ -216,20 +233,20 @@
 	return members
 }
 
-// serving tells whether gr is whole by the sightings.
+// serving reports whether gr is complete according to the latest observations.
 func (pl *planner) serving(gr Group) bool {
 	_, ok := gr.Whole(pl.report)
 	return ok
 }
 
-// settled tells whether gr has been whole for long enough that all daemons
-// have heard of it and send to it.
+// settled reports whether gr has been complete for so long that all daemons
+// know of it and send it requests.
 func (pl *planner) settled(gr Group) bool {
 	since, ok := pl.in.ServingSince[gr.ID]
 	return ok && pl.serving(gr) && pl.in.Now.Sub(since) >= pl.in.DrainAfter
 }
 
-// idle tells whether the group has no request left, by its leader's word.
+// idle reports whether no member of the group reports unfinished requests.
 func (pl *planner) idle(gr Group) bool {
 	for _, me := range gr.Members {
 		if re, ok := pl.report(me.VM); ok && re.Load.Requests > 0 {
@@ -239,7 +256,8 @@
 	return true
 }
 
-// order sends the members of a written assignment what they lack.
+// order emits the join orders that the members of a written assignment still
+// need.
 func (pl *planner) order(do Domain) {
 	for _, gr := range do.Groups {
 		ring, turn, ok := pl.ring(gr)
@@ -252,8 +270,9 @@
 	}
 }
 
-// ring returns the members that should serve together and the number of that
-// choice. A ring that members already follow is kept while all of it lives.
+// ring returns the members that should serve together and the generation of
+// that ring. A ring that members already follow is kept while none of its
+// members is lost.
 func (pl *planner) ring(gr Group) ([]Member, uint64, bool) {
 	var newest Report
 	for _, me := range gr.Members {
@@ -262,17 +281,19 @@
 			newest = re
 		}
 	}
-	if ring, ok := pl.viable(gr, newest.Ring); ok {
+	if ring, ok := pl.aliveRing(gr, newest.Ring); ok {
 		return ring, newest.Turn, true
 	}
 	alive := pl.alive(gr)
-	if len(alive) < gr.Size || !pl.idleLeavers(gr) {
+	if len(alive) < gr.Size || !pl.mayReformRing(gr) {
 		return nil, 0, false
 	}
-	return alive[:gr.Size], max(newest.Turn+1, pl.in.Epoch<<turnBits), true
+	return alive[:gr.Size], max(newest.Turn+1, pl.in.Epoch<<generationBits), true
 }
 
-func (pl *planner) viable(gr Group, names []string) ([]Member, bool) {
+// aliveRing returns the members of a reported ring if it has the size of gr and
+// none of its members is lost.
+func (pl *planner) aliveRing(gr Group, names []string) ([]Member, bool) {
 	var ring []Member
 	for _, vm := range names {
 		me, ok := gr.Member(vm)
@@ -284,9 +305,9 @@
 	return ring, len(ring) == gr.Size
 }
 
-// idleLeavers tells whether a ring may be re-formed without cutting requests
-// off: a member that is merely leaving still works on what it has.
-func (pl *planner) idleLeavers(gr Group) bool {
+// mayReformRing reports whether the ring of gr may be re-formed without cutting
+// off requests. A member that is merely leaving still finishes its requests.
+func (pl *planner) mayReformRing(gr Group) bool {
 	for _, me := range gr.Members {
 		re, ok := pl.report(me.VM)
 		if ok && re.Incarnation == me.Incarnation && pl.leaving(me.VM) {
@@ -296,6 +317,8 @@
 	return true
 }
 
+// join orders one member to join the ring, unless the member already follows
+// it, is leaving, was ordered recently, or needs a load beyond the load budget.
 func (pl *planner) join(gr Group, me Member, ring []Member, turn uint64) {
 	re, ok := pl.report(me.VM)
 	if !ok || re.Incarnation != me.Incarnation || pl.leaving(me.VM) {
@@ -308,7 +331,7 @@
 	loads := re.Model != gr.Model || re.Version != gr.Version
 	follows := re.Group == gr.ID && re.Fence == gr.Fence && re.Turn == turn && slices.Equal(re.Ring, names) &&
 		slices.Equal(re.Adapters, gr.Adapters)
-	if follows && (!loads || pl.loading(gr, me.VM)) || !pl.due(me.VM) {
+	if follows && (!loads || pl.loading(gr, me.VM)) || !pl.orderDue(me.VM) {
 		return
 	}
 	if loads && pl.in.LoadBudget <= 0 {
@@ -321,26 +344,28 @@
 	pl.out.Orders = append(pl.out.Orders, Join{VM: target, Incarnation: me.Incarnation, Group: gr, Ring: ring, Turn: turn, Loads: loads})
 }
 
-// loading tells whether a VM that follows its order may still be loading. It
-// is not ordered again meanwhile: some engines would start the load anew.
+// loading reports whether a VM that follows its order may still be loading.
+// Such a VM is not ordered again, because some engines would restart the load.
 func (pl *planner) loading(gr Group, vm string) bool {
 	at, ok := pl.in.Ordered[vm]
-	patience := loadPatience*time.Duration(pl.in.Config.Models[gr.Model].LoadTime) + minLoadPatience
-	return ok && pl.in.Now.Sub(at) < patience
+	timeout := loadTimeoutFactor*time.Duration(pl.in.Config.Models[gr.Model].LoadTime) + loadTimeoutMargin
+	return ok && pl.in.Now.Sub(at) < timeout
 }
 
-func (pl *planner) due(vm string) bool {
+// orderDue reports whether OrderInterval has passed since the last order to the
+// VM.
+func (pl *planner) orderDue(vm string) bool {
 	at, ok := pl.in.Ordered[vm]
 	return !ok || pl.in.Now.Sub(at) >= OrderInterval
 }
 
-// releaseStray cleans VMs that claim a group which the assignment does not
-// give them: one that returns as if nothing had happened, or that follows an
-// order of a steward that was replaced.
+// releaseStray releases VMs that report a group which the assignment does not
+// give them: a VM that returns after its place was given to another, or one
+// that follows an order of a replaced steward.
 func (pl *planner) releaseStray() {
 	for _, vm := range pl.in.VMs {
 		re, ok := pl.report(vm.Name)
-		if !ok || re.Group == "" || !pl.due(vm.Name) {
+		if !ok || re.Group == "" || !pl.orderDue(vm.Name) {
 			continue
 		}
 		assigned := pl.owner[vm.Name] == re.Group && pl.sameIncarnation(vm, re)
@@ -348,10 +373,12 @@
 			continue
 		}
 		pl.out.Orders = append(pl.out.Orders, Release{VM: vm, Incarnation: re.Incarnation,
-			Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn+1, pl.in.Epoch<<turnBits)})
+			Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn+1, pl.in.Epoch<<generationBits)})
 	}
 }
 
+// sameIncarnation reports whether re is from the incarnation of vm that the
+// written assignment names.
 func (pl *planner) sameIncarnation(vm VM, re Report) bool {
 	for _, gr := range pl.in.Domains[vm.Domain].Groups {
 		if me, ok := gr.Member(vm.Name); ok {
@@ -361,7 +388,8 @@
 	return false
 }
 
-// removeDrained frees the VMs of groups that have finished.
+// removeDrained removes groups that have finished draining, or that have
+// drained for DrainLimit. Their VMs become free.
 func (pl *planner) removeDrained() {
 	pl.removeIf(func(gr Group) bool {
 		if gr.DrainingSince.IsZero() {
@@ -372,6 +400,8 @@
 	})
 }
 
+// removeIf removes groups from the working copies and marks their domains as
+// changed.
 func (pl *planner) removeIf(remove func(Group) bool) {
 	for _, name := range pl.names {
 		do := pl.work[name]
@@ -383,7 +413,7 @@
 	}
 }
 
-// specs returns the declared groups of this data center, the most important first.
+// specs returns the declared groups of this data centre by descending priority.
 func (pl *planner) specs() []intent.Group {
 	var specs []intent.Group
 	for _, gr := range pl.in.Config.Groups {
@@ -397,8 +427,9 @@
 	return specs
 }
 
-// emitWrites numbers the changed assignments and checks them once more: a
-// plan that breaks an invariant is dropped, not written.
+// emitWrites gives the changed assignments their sequence numbers and fencing
+// tokens and adds them to the plan. An assignment that breaks an invariant is
+// dropped.
 func (pl *planner) emitWrites() {
 	for _, name := range pl.names {
 		if !pl.changed[name] {
@@ -408,7 +439,7 @@
 		do.Epoch = pl.in.Epoch
 		do.Sequence++
 		for i := range do.Groups {
-			if do.Groups[i].Fence == unnumbered {
+			if do.Groups[i].Fence == fenceUnassigned {
 				do.Groups[i].Fence = do.Sequence
 			}
 		}
@@ -418,5 +449,5 @@
 	}
 }
 
-// unnumbered marks a group that gets its fencing number when it is written.
-const unnumbered = 0
+// fenceUnassigned marks a group that gets its fencing token when it is written.
+const fenceUnassigned = 0
--- a/internal/core/fleet/repair.go
+++ b/internal/core/fleet/repair.go
@@ -9,66 +9,69 @@
 )
 
 const (
-	// restartTime is how long a restarted VM takes to answer again, where a
-	// plan weighs waiting for it. Most losses are restarts: by the users'
-	// figures 1,100 of 1,162 a day.
+	// restartTime is how long a restarted VM is assumed to take until it
+	// answers again. Most losses are restarts: 1,100 of 1,162 a day by the
+	// operators' figures.
 	restartTime = 2 * time.Minute
 )
 
-// located is a group in the working copy of its domain.
-type located struct {
+// groupRef refers to a group in the working copy of its domain.
+type groupRef struct {
 	do *Domain
 	ix int
 }
 
-func (lo located) group() *Group { return &lo.do.Groups[lo.ix] }
+func (lo groupRef) group() *Group { return &lo.do.Groups[lo.ix] }
 
-// groups returns the groups for which pick is true, in a stable order.
-func (pl *planner) groups(pick func(Group) bool) []located {
-	var found []located
+// groups returns the groups for which pick is true, by domain name and then in
+// stored order.
+func (pl *planner) groups(pick func(Group) bool) []groupRef {
+	var found []groupRef
 	for _, name := range pl.names {
 		do := pl.work[name]
 		for i, gr := range do.Groups {
 			if pick(gr) {
-				found = append(found, located{do, i})
+				found = append(found, groupRef{do, i})
 			}
 		}
 	}
 	return found
 }
 
+// priority returns the declared priority of gr, or 0 if it is no longer
+// declared.
 func (pl *planner) priority(gr Group) int { return pl.in.Config.Groups[gr.Spec].Priority }
 
-// broken returns the groups with too few living members, important ones first.
-func (pl *planner) broken() []located {
+// broken returns the groups that lost members, by descending priority.
+func (pl *planner) broken() []groupRef {
 	found := pl.groups(func(gr Group) bool {
 		return gr.DrainingSince.IsZero() && len(pl.alive(gr)) < len(gr.Members)
 	})
-	slices.SortStableFunc(found, func(a, b located) int {
+	slices.SortStableFunc(found, func(a, b groupRef) int {
 		return cmp.Compare(pl.priority(*b.group()), pl.priority(*a.group()))
 	})
 	return found
 }
 
-// repair deals with groups that lost members. Only whole groups serve, so a
-// group below its size is down until it is complete again.
+// repair handles groups that lost members. Only complete groups serve, so a
+// group with fewer than Size members is down until it is complete again.
 func (pl *planner) repair() {
 	if pl.in.Policy == FirstFit {
 		pl.removeIf(func(gr Group) bool { return len(pl.alive(gr)) < gr.Size })
-		pl.disown()
+		pl.rebuildOwners()
 		return
 	}
 	for _, lo := range pl.broken() {
-		if pl.idleLeavers(*lo.group()) {
-			pl.heal(lo)
+		if pl.mayReformRing(*lo.group()) {
+			pl.replaceLost(lo)
 		}
 	}
-	pl.abandon()
+	pl.relocate()
 }
 
-// disown forgets the owners of VMs whose group was removed. They become free
-// only after they report to be in no group.
-func (pl *planner) disown() {
+// rebuildOwners recomputes the owners of VMs after groups were removed. A VM of
+// a removed group becomes free only after it reports that it is in no group.
+func (pl *planner) rebuildOwners() {
 	clear(pl.owner)
 	for _, do := range pl.work {
 		for _, gr := range do.Groups {
@@ -79,10 +82,11 @@
 	}
 }
 
-// heal gives lost members' places to free VMs of the same fabric domain, or
-// to the same VM at its new incarnation once it is clean. The survivors keep
-// their weights: one load replaces a whole group's.
-func (pl *planner) heal(lo located) {
+// replaceLost replaces lost members by free VMs of the same fabric domain, or
+// by the same VM at its new incarnation once that is in no group. The remaining
+// members keep their weights, so a repair costs one load instead of one for
+// each member.
+func (pl *planner) replaceLost(lo groupRef) {
 	gr := lo.group()
 	alive := pl.alive(*gr)
 	down := len(alive) < gr.Size
@@ -94,7 +98,7 @@
 		}
 		vm, ok := pl.replacement(lo.do.Name, me)
 		if !ok && down {
-			pl.makeRoom(lo, len(members)-len(alive))
+			pl.preempt(lo, len(members)-len(alive))
 		}
 		if !ok {
 			continue
@@ -107,20 +111,20 @@
 		return
 	}
 	gr.Members = members
-	// A group that serves from its spares keeps its fencing number: changing
-	// it would stop the group until every member has followed.
+	// A group that serves from its spares keeps its fencing token: a new one
+	// would interrupt the group until every member has followed.
 	if down {
-		gr.Fence = unnumbered
+		gr.Fence = fenceUnassigned
 	}
 	pl.changed[lo.do.Name] = true
 }
 
-// replacement finds a VM for a lost member's place.
+// replacement returns a VM that can replace the lost member me.
 func (pl *planner) replacement(domain string, me Member) (VM, bool) {
 	if re, ok := pl.report(me.VM); ok && re.Group == "" && re.Incarnation != me.Incarnation && !pl.leaving(me.VM) {
 		return pl.vms[me.VM], pl.vms[me.VM].Domain == domain
 	}
-	return pl.warmest(pl.freeIn(domain), pl.groupOf(me.VM))
+	return pl.pickPreferWarm(pl.freeIn(domain), pl.groupOf(me.VM))
 }
 
 // groupOf returns the group that the VM is assigned to.
@@ -131,8 +135,9 @@
 	return Group{}
 }
 
-// warmest returns a VM that has the group's weights already, or else any.
-func (pl *planner) warmest(free []VM, gr Group) (VM, bool) {
+// pickPreferWarm returns a VM that already has the group's weights, or else the
+// first one.
+func (pl *planner) pickPreferWarm(free []VM, gr Group) (VM, bool) {
 	for _, vm := range free {
 		if pl.warm(vm, gr) {
 			return vm, true
@@ -144,16 +149,16 @@
 	return free[0], true
 }
 
-// prepareFree has free VMs load the weights of the most important group of
-// their domain, with what is left of the budget for loads. A replacement then
-// costs a group the time to re-form its ring and not that of a load. Free VMs
-// strand no more accelerators for having weights in them.
+// prepareFree orders free VMs to load the weights of the group with the highest
+// priority in their domain, within what is left of the load budget. A later
+// replacement then costs the group only the time to re-form its ring. A free VM
+// counts as stranded whether or not it holds weights.
 func (pl *planner) prepareFree() {
 	if pl.in.Policy == FirstFit {
 		return
 	}
 	for _, name := range pl.names {
-		gr, ok := pl.mostImportant(name)
+		gr, ok := pl.highestPriority(name)
 		if !ok {
 			continue
 		}
@@ -163,7 +168,9 @@
 	}
 }
 
-func (pl *planner) mostImportant(domain string) (Group, bool) {
+// highestPriority returns the group of the domain with the highest priority
+// that is not draining.
+func (pl *planner) highestPriority(domain string) (Group, bool) {
 	var best Group
 	for _, gr := range pl.work[domain].Groups {
 		if gr.DrainingSince.IsZero() && (best.ID == "" || pl.priority(gr) > pl.priority(best)) {
@@ -173,20 +180,22 @@
 	return best, best.ID != ""
 }
 
+// prepare orders one free VM to load the weights of gr, unless it has them, was
+// ordered recently or may still be loading, or the load budget is used up.
 func (pl *planner) prepare(vm VM, gr Group) {
 	re := pl.in.Seen[vm.Name].Report
-	if pl.warm(vm, gr) || pl.in.LoadBudget <= 0 || !pl.due(vm.Name) || pl.loading(gr, vm.Name) {
+	if pl.warm(vm, gr) || pl.in.LoadBudget <= 0 || !pl.orderDue(vm.Name) || pl.loading(gr, vm.Name) {
 		return
 	}
 	pl.in.LoadBudget--
 	pl.out.Orders = append(pl.out.Orders, Prepare{VM: vm, Incarnation: re.Incarnation,
-		Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn, pl.in.Epoch<<turnBits), Model: gr.Model, Version: gr.Version})
+		Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn, pl.in.Epoch<<generationBits), Model: gr.Model, Version: gr.Version})
 }
 
-// makeRoom drains a less important group of the same domain when its VMs can
-// complete this one, if the weights say that this costs less. The VMs are
-// used in a later plan, once they have been released.
-func (pl *planner) makeRoom(lo located, missing int) {
+// preempt drains a group of lower priority in the same domain if its VMs can
+// complete this one and the policy's weights favor it. A later plan uses the
+// VMs, after they have been released.
+func (pl *planner) preempt(lo groupRef, missing int) {
 	gr := lo.group()
 	victims := pl.groups(func(other Group) bool {
 		return pl.priority(other) < pl.priority(*gr) && len(pl.alive(other)) >= missing
@@ -198,17 +207,17 @@
 		if !victim.group().DrainingSince.IsZero() {
 			return
 		}
-		if pl.worth(*gr, *victim.group()) {
+		if pl.preemptionPays(*gr, *victim.group()) {
 			pl.drain(victim)
 			return
 		}
 	}
 }
 
-// worth weighs one group's downtime, multiplied by how much more important
-// it is, against the victim's downtime and the accelerators that its
-// remaining VMs strand.
-func (pl *planner) worth(gr, victim Group) bool {
+// preemptionPays compares the cost of the group's downtime, multiplied by one
+// plus the difference in priority, with the cost of the victim's downtime and
+// of the victim's VMs that remain stranded.
+func (pl *planner) preemptionPays(gr, victim Group) bool {
 	po := pl.in.Config.Policy
 	gain := po.DowntimeWeight * float64(1+pl.priority(gr)-pl.priority(victim))
 	stranded := max(0, len(victim.Members)-gr.Size)
@@ -216,12 +225,13 @@
 	return gain > cost
 }
 
-// abandon dissolves broken groups that another domain can serve sooner than
-// their own domain gets a VM back, one at a time for each declared group.
-func (pl *planner) abandon() {
-	taken := make(map[string]bool)
+// relocate dissolves broken groups that can be formed in another domain sooner
+// than their own domain gets its lost VMs back. It dissolves at most one of
+// each declared group at a time.
+func (pl *planner) relocate() {
+	relocating := make(map[string]bool)
 	pl.removeIf(func(gr Group) bool {
-		if len(pl.alive(gr)) >= gr.Size || taken[gr.Spec] || !pl.idleLeavers(gr) {
+		if len(pl.alive(gr)) >= gr.Size || relocating[gr.Spec] || !pl.mayReformRing(gr) {
 			return false
 		}
 		spec, ok := pl.in.Config.Groups[gr.Spec]
@@ -229,18 +239,20 @@
 			return false
 		}
 		_, ok = pl.place(spec)
-		taken[gr.Spec] = ok
+		relocating[gr.Spec] = ok
 		return ok
 	})
-	pl.disown()
+	pl.rebuildOwners()
 }
 
-// moveTime estimates the downtime of forming the whole group elsewhere.
+// moveTime estimates the downtime if the whole group is formed in another
+// domain.
 func (pl *planner) moveTime(gr Group) time.Duration {
 	return pl.loadTime(gr, gr.Size)
 }
 
-// waitTime estimates the remaining downtime until the lost VMs are back.
+// waitTime estimates the remaining downtime if the group waits for its lost
+// VMs.
 func (pl *planner) waitTime(gr Group) time.Duration {
 	wait := time.Duration(0)
 	missing := 0
@@ -254,13 +266,15 @@
 			continue
 		}
 		down := pl.in.Now.Sub(since)
-		// A VM that is away for longer than a restart takes is expected to
-		// stay away for as long again.
+		// A VM that has been down for longer than a restart takes is expected
+		// to stay down for as long again.
 		wait = max(wait, restartTime-down, down)
 	}
 	return wait + pl.loadTime(gr, missing)
 }
 
+// loadTime estimates how long the given number of weight loads takes, including
+// the wait for the rate limit of the weight store.
 func (pl *planner) loadTime(gr Group, loads int) time.Duration {
 	load := time.Duration(pl.in.Config.Models[gr.Model].LoadTime)
 	if rate := pl.in.Config.Policy.LoadsPerMinute; rate > 0 {
@@ -271,9 +285,10 @@
 
 // place returns the domain for one more replica of spec.
 //
-// A free VM left in a domain repairs any group there with a single load. So
-// a domain that keeps a free VM is preferred, the fullest such one, which
-// leaves the larger gaps whole for other groups.
+// A domain that keeps at least one free VM is preferred, because one free VM
+// repairs any group of the domain with a single load. Among such domains the
+// one with the fewest remaining VMs is chosen, which preserves large gaps for
+// other groups.
 func (pl *planner) place(spec intent.Group) (string, bool) {
 	size := pl.in.Config.Size(spec)
 	best, bestLeft := "", 0
@@ -285,18 +300,18 @@
 		if pl.in.Policy == FirstFit {
 			return name, true
 		}
-		if best == "" || betterLeft(left, bestLeft) {
+		if best == "" || betterRemainder(left, bestLeft) {
 			best, bestLeft = name, left
 		}
 	}
 	return best, best != ""
 }
 
-// betterLeft compares how many VMs stay free: one or more is better than
-// none, and then fewer.
-func betterLeft(left, than int) bool {
-	if (left > 0) != (than > 0) {
+// betterRemainder reports whether left remaining free VMs are better than other:
+// one or more is better than none, and then fewer is better.
+func betterRemainder(left, other int) bool {
+	if (left > 0) != (other > 0) {
 		return left > 0
 	}
-	return left < than
+	return left < other
 }
