--- a/internal/core/intent/check.go
+++ b/internal/core/intent/check.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// Limits of declared values.
 const (
 	maxNameBytes = 63
 	maxReplicas  = 4096
@@ -18,7 +19,7 @@
 
 var nameRE = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Check returns every fault of the configuration, in the order of object IDs.
+// Check returns all faults of the configuration, in the order of object IDs.
 func (cfg *Config) Check() []Fault {
 	var faults []Fault
 	for _, ob := range cfg.Objects() {
@@ -27,8 +28,8 @@
 	return faults
 }
 
-// CheckChange returns the faults of the objects that ch touches, and of those
-// that no longer hold because of it.
+// CheckChange returns the faults of cfg with ch applied, and of deletes in ch
+// that name no object.
 func (cfg *Config) CheckChange(ch Change) []Fault {
 	var faults []Fault
 	for _, id := range ch.Deletes {
@@ -39,42 +40,44 @@
 	return append(faults, cfg.With(ch, cfg.Revision).Check()...)
 }
 
+// checker collects the faults of one object.
 type checker struct {
 	id     string
 	faults []Fault
 }
 
-func (ck *checker) want(ok bool, key, reason string) {
+// require adds a fault unless ok holds.
+func (ck *checker) require(ok bool, key, reason string) {
 	if !ok {
 		ck.faults = append(ck.faults, Fault{ID: ck.id, Key: key, Reason: reason})
 	}
 }
 
 func (ck *checker) name(name string) {
-	ck.want(len(name) <= maxNameBytes && nameRE.MatchString(name), "name",
+	ck.require(len(name) <= maxNameBytes && nameRE.MatchString(name), "name",
 		"must be 1 to "+strconv.Itoa(maxNameBytes)+" lower-case letters, digits, dots or dashes")
 }
 
 func (po Policy) check(*Config) []Fault {
 	ck := checker{id: po.ID()}
-	ck.want(po.DowntimeWeight >= 0, "downtime-weight", "must not be negative")
-	ck.want(po.StrandedWeight >= 0, "stranded-weight", "must not be negative")
-	ck.want(po.DowntimeWeight+po.StrandedWeight > 0, "downtime-weight", "one of the two weights must be above zero")
-	ck.want(po.LoadsPerMinute >= 0, "loads-per-minute", "must not be negative")
+	ck.require(po.DowntimeWeight >= 0, "downtime-weight", "must not be negative")
+	ck.require(po.StrandedWeight >= 0, "stranded-weight", "must not be negative")
+	ck.require(po.DowntimeWeight+po.StrandedWeight > 0, "downtime-weight", "one of the two weights must be above zero")
+	ck.require(po.LoadsPerMinute >= 0, "loads-per-minute", "must not be negative")
 	return ck.faults
 }
 
 func (mo Model) check(*Config) []Fault {
 	ck := checker{id: mo.ID()}
 	ck.name(mo.Name)
-	ck.want(mo.Version != "", "version", "must not be empty")
-	ck.want(!strings.ContainsAny(mo.Version, "/ ?#"), "version", "must not hold spaces, slashes, ? or #")
-	ck.want(mo.VMs >= 1 && mo.VMs <= MaxGroupVMs, "vms", "must be 1 to "+strconv.Itoa(MaxGroupVMs))
-	ck.want(mo.LoadTime >= 0, "load-time", "must not be negative")
-	ck.want(mo.CapacityTokens > 0, "capacity-tokens", "must be above zero")
+	ck.require(mo.Version != "", "version", "must not be empty")
+	ck.require(!strings.ContainsAny(mo.Version, "/ ?#"), "version", "must not hold spaces, slashes, ? or #")
+	ck.require(mo.VMs >= 1 && mo.VMs <= MaxGroupVMs, "vms", "must be 1 to "+strconv.Itoa(MaxGroupVMs))
+	ck.require(mo.LoadTime >= 0, "load-time", "must not be negative")
+	ck.require(mo.CapacityTokens > 0, "capacity-tokens", "must be above zero")
 	for i, ad := range mo.Adapters {
-		ck.want(nameRE.MatchString(ad), "adapters", strconv.Quote(ad)+" is not a name")
-		ck.want(!slices.Contains(mo.Adapters[:i], ad), "adapters", strconv.Quote(ad)+" stands twice")
+		ck.require(nameRE.MatchString(ad), "adapters", strconv.Quote(ad)+" is not a name")
+		ck.require(!slices.Contains(mo.Adapters[:i], ad), "adapters", strconv.Quote(ad)+" stands twice")
 	}
 	return ck.faults
 }
@@ -83,57 +86,57 @@
 	ck := checker{id: gr.ID()}
 	ck.name(gr.Name)
 	_, ok := cfg.Models[gr.Model]
-	ck.want(ok, "model", "no model "+strconv.Quote(gr.Model)+" is declared")
-	ck.want(gr.DataCenter != "", "data-center", "must not be empty")
-	ck.want(gr.Replicas >= 0 && gr.Replicas <= maxReplicas, "replicas", "must be 0 to "+strconv.Itoa(maxReplicas))
-	ck.want(gr.Spares >= 0 && gr.Spares <= MaxGroupVMs, "spares", "must be 0 to "+strconv.Itoa(MaxGroupVMs))
+	ck.require(ok, "model", "no model "+strconv.Quote(gr.Model)+" is declared")
+	ck.require(gr.DataCenter != "", "data-center", "must not be empty")
+	ck.require(gr.Replicas >= 0 && gr.Replicas <= maxReplicas, "replicas", "must be 0 to "+strconv.Itoa(maxReplicas))
+	ck.require(gr.Spares >= 0 && gr.Spares <= MaxGroupVMs, "spares", "must be 0 to "+strconv.Itoa(MaxGroupVMs))
 	roles := []Role{RoleMixed, RolePrefill, RoleDecode}
-	ck.want(slices.Contains(roles, gr.Role), "role", "must be mixed, prefill or decode")
+	ck.require(slices.Contains(roles, gr.Role), "role", "must be mixed, prefill or decode")
 	return ck.faults
 }
 
 func (wo Workspace) check(cfg *Config) []Fault {
 	ck := checker{id: wo.ID()}
 	ck.name(wo.Name)
-	ck.want(wo.Share > 0, "share", "must be above zero")
+	ck.require(wo.Share > 0, "share", "must be above zero")
 	digest, err := hex.DecodeString(wo.KeySHA256)
-	ck.want(err == nil && len(digest) == sha256Bytes, "key-sha256", "must be the 64 hex digits of a SHA-256 digest")
+	ck.require(err == nil && len(digest) == sha256Bytes, "key-sha256", "must be the 64 hex digits of a SHA-256 digest")
 	for _, other := range cfg.Workspaces {
 		same := other.Name != wo.Name && strings.EqualFold(other.KeySHA256, wo.KeySHA256)
-		ck.want(!same, "key-sha256", "workspace "+strconv.Quote(other.Name)+" has the same key")
+		ck.require(!same, "key-sha256", "workspace "+strconv.Quote(other.Name)+" has the same key")
 	}
 	return ck.faults
 }
 
-// reserved are the daemon's own paths.
+// reserved lists the path prefixes that the daemon serves itself.
 var reserved = []string{"/v1/", "/healthz", "/readyz", "/metrics"}
 
 func (en Endpoint) check(cfg *Config) []Fault {
 	ck := checker{id: en.ID()}
 	ck.name(en.Name)
-	ck.want(strings.HasPrefix(en.Route, "/") && strings.HasSuffix(en.Route, "/") && len(en.Route) > 1, "route",
+	ck.require(strings.HasPrefix(en.Route, "/") && strings.HasSuffix(en.Route, "/") && len(en.Route) > 1, "route",
 		"must begin and end with a slash and hold a name between")
 	for _, path := range reserved {
-		ck.want(!strings.HasPrefix(en.Route, path), "route", path+" is the daemon's own")
+		ck.require(!strings.HasPrefix(en.Route, path), "route", path+" is the daemon's own")
 	}
 	for _, other := range cfg.Endpoints {
 		clash := other.Name != en.Name && (strings.HasPrefix(en.Route, other.Route) || strings.HasPrefix(other.Route, en.Route))
-		ck.want(!clash, "route", "overlaps with endpoint "+strconv.Quote(other.Name))
+		ck.require(!clash, "route", "overlaps with endpoint "+strconv.Quote(other.Name))
 	}
-	ck.want(len(en.Addresses) > 0, "addresses", "must not be empty")
+	ck.require(len(en.Addresses) > 0, "addresses", "must not be empty")
 	for i, addr := range en.Addresses {
-		ck.want(isAddress(addr), "addresses", strconv.Quote(addr)+" is not IP:port")
-		ck.want(!slices.Contains(en.Addresses[:i], addr), "addresses", strconv.Quote(addr)+" stands twice")
+		ck.require(isAddress(addr), "addresses", strconv.Quote(addr)+" is not IP:port")
+		ck.require(!slices.Contains(en.Addresses[:i], addr), "addresses", strconv.Quote(addr)+" stands twice")
 	}
 	for _, addr := range en.Leaving {
-		ck.want(slices.Contains(en.Addresses, addr), "leaving", strconv.Quote(addr)+" is not one of the addresses")
+		ck.require(slices.Contains(en.Addresses, addr), "leaving", strconv.Quote(addr)+" is not one of the addresses")
 	}
 	for _, rule := range en.NotRepeatable {
 		method, path, ok := strings.Cut(rule, " ")
 		ok = ok && method == strings.ToUpper(method) && strings.HasPrefix(path, en.Route)
-		ck.want(ok, "not-repeatable", strconv.Quote(rule)+` is not "METHOD /path" below the route`)
+		ck.require(ok, "not-repeatable", strconv.Quote(rule)+` is not "METHOD /path" below the route`)
 	}
-	ck.want(en.Timeout >= 0 && time.Duration(en.Timeout) <= time.Hour, "timeout", "must be 0s to 1h")
+	ck.require(en.Timeout >= 0 && time.Duration(en.Timeout) <= time.Hour, "timeout", "must be 0s to 1h")
 	return ck.faults
 }
 
--- a/internal/core/intent/intent.go
+++ b/internal/core/intent/intent.go
@@ -1,6 +1,6 @@
-// Package intent holds what the operators have declared: models, groups,
-// workspaces, plain services and the policy. It knows no files and no
-// sockets; package operator reads files into it.
+// Package intent defines the operators' declarations: models, groups,
+// workspaces, plain services and the policy. It does no input or output;
+// package operator parses files into it.
 package intent
 
 import (
@@ -18,7 +18,7 @@
 // MaxGroupVMs is the largest number of VMs that one replica spans.
 const MaxGroupVMs = 16
 
-// Role says which phase of a request a group works on.
+// Role is the phase of a request that a group works on.
 type Role string
 
 // Roles of a group.
@@ -28,7 +28,7 @@
 	RoleDecode  Role = "decode"
 )
 
-// Duration is a time.Duration written as text such as "40s".
+// Duration is a time.Duration that is encoded as text such as "40s".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -41,22 +41,23 @@
 	return err
 }
 
-// Object is one declared thing. It is one of Policy, Model, Group,
-// Workspace and Endpoint.
+// Object is one declared object. It is one of Policy, Model, Group, Workspace
+// and Endpoint.
 type Object interface {
 	// ID returns kind/name, the object's key in the configuration.
 	ID() string
 	check(cfg *Config) []Fault
 }
 
-// Policy weighs what cannot both be had.
+// Policy holds the weights of competing objectives.
 type Policy struct {
 	// DowntimeWeight is the cost of one group being down for one second.
 	DowntimeWeight float64 `toml:"downtime-weight" json:"downtime-weight"`
-	// StrandedWeight is the cost of one accelerator being powered without
-	// belonging to a serving group for one second.
+	// StrandedWeight is the cost of one accelerator being powered for one
+	// second without belonging to a serving group.
 	StrandedWeight float64 `toml:"stranded-weight" json:"stranded-weight"`
-	// LoadsPerMinute paces weight loads for the weight store; zero means no limit.
+	// LoadsPerMinute limits the rate of weight loads from the weight store.
+	// Zero means no limit.
 	LoadsPerMinute int `toml:"loads-per-minute" json:"loads-per-minute"`
 }
 
@@ -64,50 +65,55 @@
 type Model struct {
 	Name    string `toml:"name" json:"name"`
 	Version string `toml:"version" json:"version"`
-	// VMs is how many VMs one replica spans, 1 to MaxGroupVMs.
+	// VMs is the number of VMs that one replica spans, 1 to MaxGroupVMs.
 	VMs      int      `toml:"vms" json:"vms"`
 	Adapters []string `toml:"adapters" json:"adapters"`
 	// LoadTime is how long a VM takes to load the weights.
 	LoadTime Duration `toml:"load-time" json:"load-time"`
-	// ChecksFencing says whether the engines refuse orders with an old fencing number.
+	// ChecksFencing means that the engines refuse orders with an outdated
+	// fencing token.
 	ChecksFencing bool `toml:"checks-fencing" json:"checks-fencing"`
-	// CapacityTokens is how many resident tokens one replica holds.
+	// CapacityTokens is the number of resident tokens that one replica can
+	// hold.
 	CapacityTokens int64 `toml:"capacity-tokens" json:"capacity-tokens"`
 }
 
-// Group asks for replicas of a model in one data center.
+// Group declares replicas of a model in one data centre.
 type Group struct {
 	Name       string `toml:"name" json:"name"`
 	Model      string `toml:"model" json:"model"`
 	DataCenter string `toml:"data-center" json:"data-center"`
 	Replicas   int    `toml:"replicas" json:"replicas"`
-	// Spares is how many VMs are reserved for each replica ahead of a loss.
+	// Spares is the number of VMs that are reserved for each replica ahead of a
+	// loss.
 	Spares int  `toml:"spares" json:"spares"`
 	Role   Role `toml:"role" json:"role"`
-	// Priority orders groups when VMs are short; higher goes first.
+	// Priority orders groups when VMs are scarce; higher goes first.
 	Priority int `toml:"priority" json:"priority"`
 }
 
 // Workspace is a customer with a share of the capacity.
 type Workspace struct {
 	Name string `toml:"name" json:"name"`
-	// Share is the weight against other workspaces under contention.
+	// Share is the weight relative to other workspaces under contention.
 	Share float64 `toml:"share" json:"share"`
-	// KeySHA256 is the hex digest of the secret key.
+	// KeySHA256 is the hex-encoded SHA-256 digest of the secret key.
 	KeySHA256 string `toml:"key-sha256" json:"key-sha256"`
 }
 
-// Endpoint is a plain service beside the model engines.
+// Endpoint is a plain service, which is not a model engine.
 type Endpoint struct {
 	Name string `toml:"name" json:"name"`
-	// Route is the path prefix that leads here, for example "/orders/".
+	// Route is the path prefix of the service's requests, for example
+	// "/orders/".
 	Route     string   `toml:"route" json:"route"`
 	Addresses []string `toml:"addresses" json:"addresses"`
-	// NotRepeatable lists calls that run at most once, as "METHOD /path/prefix".
+	// NotRepeatable lists the calls that run at most once, as "METHOD
+	// /path/prefix".
 	NotRepeatable []string `toml:"not-repeatable" json:"not-repeatable"`
-	// Timeout bounds one call.
+	// Timeout limits the duration of one call.
 	Timeout Duration `toml:"timeout" json:"timeout"`
-	// Leaving takes the listed addresses out of use for new calls.
+	// Leaving lists addresses that receive no new calls.
 	Leaving []string `toml:"leaving" json:"leaving"`
 }
 
@@ -126,20 +132,20 @@
 // ID implements Object.
 func (en Endpoint) ID() string { return "endpoint/" + en.Name }
 
-// Fault is one reason why a configuration is refused.
+// Fault is one reason for refusing a configuration.
 type Fault struct {
-	// ID is the object's ID, Key the field inside it.
+	// ID is the object's ID, Key the field within the object.
 	ID, Key, Reason string
 }
 
-// Change is a set of objects to put and IDs to delete, accepted or refused
-// as a whole.
+// Change is a set of objects to put and IDs to delete. It is accepted or
+// refused as a whole.
 type Change struct {
 	Puts    []Object
 	Deletes []string
 }
 
-// IDs returns the sorted IDs that the change touches.
+// IDs returns the sorted IDs of the objects that the change puts or deletes.
 func (ch Change) IDs() []string {
 	ids := slices.Clone(ch.Deletes)
 	for _, ob := range ch.Puts {
@@ -149,8 +155,8 @@
 	return ids
 }
 
-// Config is the whole configuration at one revision. It is not changed after
-// it was made.
+// Config is the whole configuration at one revision. It is immutable once
+// built.
 type Config struct {
 	Revision   uint64
 	Policy     Policy
@@ -160,10 +166,10 @@
 	Endpoints  map[string]Endpoint
 }
 
-// DefaultPolicy is in force until an operator declares another.
+// DefaultPolicy applies until an operator declares another policy.
 var DefaultPolicy = Policy{DowntimeWeight: 1, StrandedWeight: 1}
 
-// New returns the empty configuration, revision 0.
+// New returns the empty configuration, at revision 0.
 func New() *Config {
 	return &Config{
 		Policy:     DefaultPolicy,
@@ -174,7 +180,8 @@
 	}
 }
 
-// With returns a copy of cfg with the change applied, unchecked.
+// With returns a copy of cfg with the change applied. The result is not
+// checked.
 func (cfg *Config) With(ch Change, revision uint64) *Config {
 	next := &Config{
 		Revision:   revision,
@@ -208,6 +215,7 @@
 	}
 }
 
+// remove deletes an object. Deleting the policy restores the default one.
 func (cfg *Config) remove(id string) {
 	kind, name, _ := strings.Cut(id, "/")
 	switch kind {
@@ -224,7 +232,7 @@
 	}
 }
 
-// Has tells whether an object of that ID is declared.
+// Has reports whether an object with that ID is declared.
 func (cfg *Config) Has(id string) bool {
 	for _, ob := range cfg.Objects() {
 		if ob.ID() == id {
@@ -234,7 +242,7 @@
 	return false
 }
 
-// Objects returns all objects in the order of their IDs.
+// Objects returns all objects, sorted by ID.
 func (cfg *Config) Objects() []Object {
 	obs := []Object{cfg.Policy}
 	for _, ob := range cfg.Models {
@@ -253,7 +261,7 @@
 	return obs
 }
 
-// Size returns how many VMs one replica of gr takes, spares included.
+// Size returns the number of VMs that one replica of gr takes, spares included.
 func (cfg *Config) Size(gr Group) int { return cfg.Models[gr.Model].VMs + gr.Spares }
 
 // Encode returns the stored form of an object.
@@ -262,7 +270,8 @@
 	return raw, eris.Wrap(err, ob.ID())
 }
 
-// Decode reads an object's stored form.
+// Decode decodes the stored form of the object with the given ID. It returns an
+// error if the kind is unknown or the stored object has another ID.
 func Decode(id string, raw json.RawMessage) (Object, error) {
 	kind, _, _ := strings.Cut(id, "/")
 	switch kind {
@@ -277,16 +286,17 @@
 	case "endpoint":
 		return decodeAs[Endpoint](id, raw)
 	}
-	return nil, eris.Errorf("%s: unknown kind of object", id)
+	return nil, eris.Errorf("%s: unknown object kind", id)
 }
 
+// decodeAs decodes an object of type T and verifies its ID.
 func decodeAs[T Object](id string, raw json.RawMessage) (Object, error) {
 	var ob T
 	if err := json.Unmarshal(raw, &ob); err != nil {
 		return nil, eris.Wrap(err, id)
 	}
 	if ob.ID() != id {
-		return nil, eris.Errorf("%s holds %s", id, ob.ID())
+		return nil, eris.Errorf("object stored as %s has ID %s", id, ob.ID())
 	}
 	return ob, nil
 }
@@ -299,7 +309,7 @@
 	After  string `json:"after,omitempty"`
 }
 
-// Plan returns what applying ch to cfg would change.
+// Plan returns the differences that applying ch to cfg would make.
 func (cfg *Config) Plan(ch Change) []Diff {
 	before := cfg.texts()
 	after := cfg.With(ch, cfg.Revision).texts()
@@ -319,6 +329,8 @@
 	return diffs
 }
 
+// texts returns a textual form of all objects by ID, for comparison and
+// display.
 func (cfg *Config) texts() map[string]string {
 	texts := make(map[string]string)
 	for _, ob := range cfg.Objects() {
