--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// A view of a later term replaces one of an earlier, whatever their sequences.
-func TestNewer(t *testing.T) {
+// Guards against ordering views by sequence alone: a view of a later term
+// replaces one of an earlier term, whatever their sequences are.
+func TestViewNewer(t *testing.T) {
 	tests := []struct {
 		name string
 		vi   View
@@ -50,12 +51,14 @@
 	}
 	for _, tc := range tests {
 		if got := tc.vi.Newer(&tc.than); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: Newer = %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-func foldFixture() (map[string]Endpoint, *Config) {
+// entriesFixture returns entries of a complete group with two members and of
+// one plain endpoint.
+func entriesFixture() (map[string]Endpoint, *Config) {
 	cfg := &Config{Services: map[string]Service{"engine": {Engine: &Engine{Models: []Model{{Name: "large", Size: 2}}}}, "desk": {}}}
 	eps := map[string]Endpoint{"desk-1": {ID: "desk-1", Service: "desk", Address: "d"}}
 	for rank, id := range []string{"head", "second"} {
@@ -68,9 +71,10 @@
 	return eps, cfg
 }
 
-// A daemon without a steward's word goes by the store's entries: whole groups
-// with an open head serve, and nothing else.
-func TestFold(t *testing.T) {
+// Guards against routing by incomplete groups while no steward publishes views:
+// a view built from the store's entries holds only complete groups with an open
+// head.
+func TestViewFromEntries(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(map[string]Endpoint)
@@ -88,24 +92,25 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			eps, cfg := foldFixture()
+			eps, cfg := entriesFixture()
 			tc.change(eps)
 			vi := Fold(eps, cfg, nil, 7)
 			if len(vi.Groups) != tc.groups {
 				t.Errorf("%d groups, want %d", len(vi.Groups), tc.groups)
 			}
 			if len(vi.Plain) != 1 || vi.Revision != 7 {
-				t.Errorf("view %+v", vi)
+				t.Errorf("view %+v, want 1 plain endpoint and revision 7", vi)
 			}
 		})
 	}
 }
 
-// The entry of a member that is not the head is gone: the group of the former
-// view stays, since its head is there and says nothing else. Without the head
-// it does not.
-func TestFoldKeepsGroups(t *testing.T) {
-	eps, cfg := foldFixture()
+// Guards against dropping a group when only the entry of a member other than
+// the head is missing: the group of the previous view stays as long as its head
+// is registered and reports nothing else. Without the head the group is
+// dropped.
+func TestViewFromEntriesKeepsGroups(t *testing.T) {
+	eps, cfg := entriesFixture()
 	before := Fold(eps, cfg, nil, 7)
 	delete(eps, "second")
 	if after := Fold(eps, cfg, before, 8); !cmp.Equal(after.Groups, before.Groups) {
@@ -113,7 +118,7 @@
 	}
 	delete(eps, "head")
 	if after := Fold(eps, cfg, before, 9); len(after.Groups) != 0 {
-		t.Errorf("a group without its head stays: %v", after.Groups)
+		t.Errorf("groups remain after their head was removed: %v", after.Groups)
 	}
 }
 
@@ -130,7 +135,7 @@
 	}
 	for _, tc := range tests {
 		if got := tc.ro.Idempotent(); got != tc.want {
-			t.Errorf("%+v: %v, want %v", tc.ro, got, tc.want)
+			t.Errorf("%+v: Idempotent = %v, want %v", tc.ro, got, tc.want)
 		}
 	}
 }
@@ -143,7 +148,7 @@
 	co.Prepare()
 	for b.Loop() {
 		if co.Route("some.example", "/route250/a/b") == nil {
-			b.Fatal("no route")
+			b.Fatal("no route found for /route250/a/b")
 		}
 	}
 }
--- a/internal/core/catalog/change.go
+++ b/internal/core/catalog/change.go
@@ -6,23 +6,26 @@
 )
 
 // Change is the difference between two views of one steward. A repair changes
-// one or two groups of many; the whole view of 300 VMs is some 16 KB, a change
-// 1 KB at most.
+// one or two groups of many. A whole view of 300 VMs has some 16 KB, a change
+// at most 1 KB.
 type Change struct {
-	// Term, From and Sequence tell which view it makes of which.
+	// Term, From and Sequence identify the views: the change turns view From of
+	// the term into view Sequence.
 	Term     int64 `cbor:"1,keyasint"`
 	From     int64 `cbor:"2,keyasint"`
 	Sequence int64 `cbor:"3,keyasint"`
 	Revision int64 `cbor:"4,keyasint"`
-	// Groups are new, or replace those of the same names; Removed are names.
+	// Groups are new or replace the groups of the same names. Removed holds the
+	// names of removed groups.
 	Groups  []Group  `cbor:"5,keyasint,omitempty"`
 	Removed []string `cbor:"6,keyasint,omitempty"`
-	// Plain are all endpoints without groups if PlainChanged is set.
+	// Plain holds all endpoints without groups if PlainChanged is set.
+	// Otherwise they are unchanged.
 	PlainChanged bool            `cbor:"7,keyasint,omitempty"`
 	Plain        []PlainEndpoint `cbor:"8,keyasint,omitempty"`
 }
 
-// ChangeTo returns what makes the next view of this one.
+// ChangeTo returns the change that turns vi into next.
 func (vi *View) ChangeTo(next *View) *Change {
 	ch := &Change{Term: next.Term, From: vi.Sequence, Sequence: next.Sequence, Revision: next.Revision}
 	before := make(map[string]Group, len(vi.Groups))
@@ -45,8 +48,8 @@
 	return ch
 }
 
-// Apply returns the view that a change makes of this one, or nil if the change
-// is for another view: the whole view is then to be fetched.
+// Apply returns the view that results from applying ch to vi. It returns nil if
+// ch does not start from vi; the caller then has to fetch the whole view.
 func (vi *View) Apply(ch *Change) *View {
 	if vi == nil || vi.Term != ch.Term || vi.Sequence != ch.From {
 		return nil
@@ -65,7 +68,8 @@
 	return next
 }
 
-// Members counts the VMs that a change names, which makes its size.
+// Members returns the number of group members and plain endpoints in the
+// change, which determines its encoded size.
 func (ch *Change) Members() int {
 	num := len(ch.Plain)
 	for _, gr := range ch.Groups {
--- a/internal/core/catalog/config.go
+++ b/internal/core/catalog/config.go
@@ -1,20 +1,21 @@
-// Package catalog holds what the operators declared and which endpoints are
-// registered, in the project's own types. It does no input or output.
+// Package catalog defines the operators' configuration, the registered
+// endpoints and the views that daemons route by. It does no input or output.
 package catalog
 
 import "time"
 
-// Kind says what may be done with a request besides sending it once.
+// Kind classifies requests by whether they may be repeated and how they are
+// answered.
 type Kind int
 
-// The kinds of requests.
+// Kinds of requests.
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
 	// Safe requests are idempotent.
 	Safe
-	// Streaming requests are answered by a series of events. They are
-	// idempotent only where the route says that they can be resumed.
+	// Streaming requests are answered by a stream of events. They are
+	// idempotent only if the route is resumable.
 	Streaming
 )
 
@@ -30,12 +31,12 @@
 	return "unsafe"
 }
 
-// Config is one accepted version of the operators' declaration. It is never
-// changed after it was decoded.
+// Config is one accepted version of the operators' configuration. It is
+// immutable once decoded.
 type Config struct {
-	// Version is the operators' number; it only grows.
+	// Version is the operators' version number. It only grows.
 	Version int64
-	// Revision is the store's revision of the value that was decoded.
+	// Revision is the store's revision of the decoded value.
 	Revision   int64
 	Routes     []Route
 	Services   map[string]Service
@@ -51,13 +52,15 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout limits the time that a caller waits.
 	Timeout time.Duration
-	// Objective is the latency up to the answer, or up to the first event.
+	// Objective is the target latency until the answer, or until the first
+	// event of a stream.
 	Objective time.Duration
-	// PauseObjective is the longest pause between two events.
+	// PauseObjective is the target for the longest pause between two events.
 	PauseObjective time.Duration
-	// MaxAttempts bounds the endpoints that one request may be sent to.
+	// MaxAttempts limits the number of endpoints that one request may be sent
+	// to.
 	MaxAttempts int
 	// Priority is the route's rank; 0 is the most urgent.
 	Priority int
@@ -68,84 +71,91 @@
 	Backends  []Backend
 }
 
-// Idempotent tells whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (ro *Route) Idempotent() bool {
 	return ro.Kind == Safe || ro.Kind == Streaming && ro.Resumable
 }
 
-// Backend is a service with its share of a route's requests.
+// Backend is a service and its weight among a route's backends.
 type Backend struct {
 	Service string
 	Weight  int
 }
 
-// Service is a set of endpoints that answer alike.
+// Service is a set of interchangeable endpoints.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns is how many connections an endpoint accepts from all callers.
+	// MaxConns is the number of connections that an endpoint accepts from all
+	// callers together.
 	MaxConns int
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Engine is the cost model of a model service. Times hold for a group whose
-// pace is 1.
+// Engine is the cost model of a model service. All times are for a group with
+// pace 1.
 type Engine struct {
-	// Slots is how many requests a group runs at once.
+	// Slots is the number of requests that a group runs at once.
 	Slots int
-	// KVTokens is the memory of a group in tokens.
+	// KVTokens is the KV cache capacity of a group in tokens.
 	KVTokens int64
-	// Stride is how many steps a pass with writing requests executes.
+	// Stride is the number of decode steps that one pass executes while
+	// requests are decoding.
 	Stride int
 	Models []Model
-	// Step is the time of a token step without any request.
+	// Step is the base time of a decode step, without any requests.
 	Step time.Duration
-	// StepPerRequest is added for each request that is writing.
+	// StepPerRequest is added to a step for each decoding request.
 	StepPerRequest time.Duration
-	// StepPerKContext is added for each 1,000 tokens of a writer's context.
+	// StepPerKContext is added to a step for each 1,000 tokens of a decoding
+	// request's context.
 	StepPerKContext time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second.
+	// ReadPerSecond is the prefill rate in prompt tokens per second.
 	ReadPerSecond float64
-	// PairsPerM is the time for each million pairs of a token and an earlier one.
+	// PairsPerM is the prefill time for one million pairs of a token and an
+	// earlier token (attention).
 	PairsPerM time.Duration
-	// Chunk is the most prompt tokens read in one step.
+	// Chunk is the maximum number of prompt tokens processed in one step.
 	Chunk int
-	// ReportLag is how old reported figures may be.
+	// ReportLag is the maximum age of reported figures.
 	ReportLag time.Duration
-	// LoadsPerSecond bounds the loads from the weight store that may begin.
+	// LoadsPerSecond limits the rate at which loads from the weight store may
+	// start.
 	LoadsPerSecond float64
-	// LoadsAtOnce is how many loads run at full speed.
+	// LoadsAtOnce is the number of concurrent loads that run at full speed.
 	LoadsAtOnce int
-	// Form is how long a group takes from the order to open until it serves.
+	// Form is the time from the order to open a group until the group serves.
 	Form time.Duration
-	// MeanPrompt and MeanAnswer are the usual token counts of a request.
+	// MeanPrompt and MeanAnswer are the mean token counts of a request's prompt
+	// and answer.
 	MeanPrompt, MeanAnswer float64
-	// Delays are the one-way delays between data centres.
+	// Delays holds the one-way network delays between pairs of data centres.
 	Delays map[[2]string]time.Duration
 }
 
 // Model is one model of an engine.
 type Model struct {
 	Name string
-	// Size is how many VMs a group of the model has.
+	// Size is the number of VMs in a group of the model.
 	Size int
-	// Share is the model's part of the work at the start.
+	// Share is the model's share of the load at startup.
 	Share float64
-	// Pace multiplies all times of a group.
+	// Pace is the factor by which all times of a group are multiplied.
 	Pace float64
-	// Load is the time to fetch the weights, Warm the time when the host has them.
+	// Load is the time to fetch the weights, Warm the time to load them if the
+	// host already has them.
 	Load, Warm time.Duration
 }
 
-// leastPace stands in for a pace that is not stated.
-const leastPace = 0.05
+// minPace is the lower bound of a pace. It also applies where no pace is set.
+const minPace = 0.05
 
-// TimeFactor is what the engine's times are multiplied by for a group of the model; it is
-// never zero.
-func (mo Model) TimeFactor() float64 { return max(mo.Pace, leastPace) }
+// TimeFactor returns the factor by which the engine's times are multiplied for
+// a group of the model. It is never zero.
+func (mo Model) TimeFactor() float64 { return max(mo.Pace, minPace) }
 
-// Model returns the model of that name.
+// Model returns the model with that name.
 func (en *Engine) Model(name string) (Model, bool) {
 	for _, mo := range en.Models {
 		if mo.Name == name {
@@ -155,23 +165,23 @@
 	return Model{}, false
 }
 
-// Workspace is a customer with the keys that name it.
+// Workspace is a customer and the API keys that identify it.
 type Workspace struct {
 	Name string
-	// Priority goes before the route's; -1 when the workspace has none.
+	// Priority overrides the route's priority; -1 means that it is not set.
 	Priority int
 	Keys     []string
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits on a caller's requests and connections.
 type Limits struct {
 	HeaderBytes, BodyBytes int64
 	HeaderTimeout          time.Duration
 	IdleTimeout            time.Duration
 }
 
-// Workspace returns the workspace that holds the key, or nil.
+// Workspace returns the workspace that the key belongs to, or nil.
 func (co *Config) Workspace(key string) *Workspace { return co.keys[key] }
 
-// NeedsKeys tells whether requests on routes that are not public carry keys.
+// NeedsKeys reports whether requests on non-public routes must carry a key.
 func (co *Config) NeedsKeys() bool { return len(co.Workspaces) > 0 }
--- a/internal/core/catalog/demand.go
+++ b/internal/core/catalog/demand.go
@@ -1,27 +1,29 @@
 package catalog
 
-// Demand is what callers ask of a model in a second.
+// Demand is the load that callers place on a model per second.
 type Demand struct {
-	// Requests counts those that callers send for the first time.
+	// Requests is the number of new requests; repeated attempts are not
+	// counted.
 	Requests float32 `cbor:"1,keyasint,omitempty"`
-	// Prompt and Answer are their tokens to read and to write.
+	// Prompt and Answer are the numbers of tokens to prefill and to decode.
 	Prompt float32 `cbor:"2,keyasint,omitempty"`
 	Answer float32 `cbor:"3,keyasint,omitempty"`
 }
 
-// Plus adds up the demand of two daemons.
+// Plus returns the sum of two demands.
 func (de Demand) Plus(other Demand) Demand {
 	return Demand{de.Requests + other.Requests, de.Prompt + other.Prompt, de.Answer + other.Answer}
 }
 
-// Groups is how many groups of a model the demand keeps busy when each of them runs as
-// many requests as it can.
+// Groups returns the number of groups of a model that the demand keeps busy if
+// each of them runs as many requests at once as it can.
 func (de Demand) Groups(en *Engine, mo Model) float64 {
 	if de.Requests <= 0 {
 		return 0
 	}
 	requests, prompt, answer := float64(de.Requests), float64(de.Prompt), float64(de.Answer)
-	// A request holds its prompt all the time, and half of its answer on average.
+	// A request occupies memory for its whole prompt and, on average, for half
+	// of its answer.
 	context := (prompt + answer/2) / requests
 	reading := 0.0
 	if en.ReadPerSecond > 0 {
@@ -30,12 +32,13 @@
 	pairs := prompt * prompt / requests / 2
 	reading += pairs / 1e6 * en.PairsPerM.Seconds()
 	perToken := en.StepPerRequest.Seconds() + context/1000*en.StepPerKContext.Seconds()
-	perToken += en.Step.Seconds() / max(1, en.roomFor(context))
+	perToken += en.Step.Seconds() / max(1, en.concurrency(context))
 	return mo.TimeFactor() * (reading + answer*perToken)
 }
 
-// roomFor is how many requests of that many tokens a group runs at once.
-func (en *Engine) roomFor(context float64) float64 {
+// concurrency returns the number of requests with a context of that many tokens
+// that a group runs at once.
+func (en *Engine) concurrency(context float64) float64 {
 	slots := float64(en.Slots)
 	if en.KVTokens <= 0 || context <= 0 {
 		return slots
--- a/internal/core/catalog/demand_test.go
+++ b/internal/core/catalog/demand_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against a split by a figure that leaves out a part of what requests cost: the
-// demand is compared with an engine that works in passes with all slots taken.
+// Guards against a demand figure that omits part of a request's cost: the
+// figure is compared with an engine that works in passes with all slots taken.
 func TestDemandGroups(t *testing.T) {
 	en := &Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, Step: 6450 * time.Microsecond, StepPerRequest: 97 * time.Microsecond,
 		StepPerKContext: 3 * time.Microsecond, ReadPerSecond: 56_100}
@@ -35,7 +35,8 @@
 	}
 }
 
-// passRate is how many requests a second a group answers whose slots are all taken.
+// passRate returns the number of requests per second that a group with all
+// slots taken completes.
 func passRate(en *Engine, pace, prompt, answer float64) float64 {
 	running := math.Min(float64(en.Slots), float64(en.KVTokens)/(prompt+answer/2))
 	step := en.Step.Seconds() + running*(en.StepPerRequest.Seconds()+(prompt+answer/2)/1000*en.StepPerKContext.Seconds())
@@ -44,9 +45,10 @@
 	return ended / (pass * pace)
 }
 
-// Guards against a model without requests, or an engine without stated times, taking part
-// in a split with a figure that is no number.
-func TestDemandGroupsWithoutFigures(t *testing.T) {
+// Guards against NaN, infinite or negative results for a model without requests
+// or an engine without configured times, which would distort the split of VMs
+// between models.
+func TestDemandGroupsFinite(t *testing.T) {
 	tests := []struct {
 		name string
 		en   Engine
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -2,84 +2,85 @@
 
 import "slices"
 
-// GroupState is what a member says of the group it belongs to.
+// GroupState is the state of a group as one of its members reports it.
 type GroupState string
 
-// States of a group as its members report them.
+// States of a group.
 const (
-	// Joining members load weights or connect to the others.
+	// Joining members load weights or connect to the other members.
 	Joining GroupState = "joining"
-	// Ready members wait for the group to be opened.
+	// Ready members wait until the group is opened.
 	Ready GroupState = "ready"
-	// Open heads take requests.
+	// Open heads accept requests.
 	Open GroupState = "open"
-	// Closing heads finish what they have.
+	// Closing heads finish the requests that they have.
 	Closing GroupState = "closing"
-	// Broken heads lost a member and take nothing any more.
+	// Broken heads lost a member and accept no more requests.
 	Broken GroupState = "broken"
 )
 
-// Membership is an endpoint's own account of the group it belongs to.
+// Membership is an endpoint's own report of the group it belongs to.
 type Membership struct {
 	Group string
 	Epoch int64
-	// Rank is the position among the members; the head has rank 0.
+	// Rank is the position among the members. The head has rank 0.
 	Rank  int
 	State GroupState
 }
 
-// Incarnation tells the lives of a server process apart that start one after the
-// other under the same ID. It is the Unix millisecond of the start; 0 stands for
-// one that is not known.
+// Incarnation distinguishes server processes that start one after the other
+// under the same ID. It is the Unix time of the start in milliseconds, or 0 if
+// that is unknown.
 type Incarnation int64
 
-// Differs tells whether two incarnations are certainly not the same.
+// Differs reports whether two incarnations are certainly different. An unknown
+// incarnation differs from none.
 func (in Incarnation) Differs(from Incarnation) bool { return in != from && in != 0 && from != 0 }
 
-// Life is one life of a server process.
+// Life identifies one instance of a server process.
 type Life struct {
 	ID          string      `json:"id" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"2,keyasint,omitempty"`
 }
 
-// Endpoint is a registered server process. One that starts again may have
-// another ID, or the same ID and another incarnation; it knows nothing of before.
+// Endpoint is a registered server process. After a restart it has another ID,
+// or the same ID and another incarnation, and keeps no state from before.
 type Endpoint struct {
 	ID, Service, Address string
 	Incarnation          Incarnation
 	DataCenter           string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the endpoint runs at once.
 	Slots int
-	// Leaving endpoints stop soon and take no new requests.
+	// Leaving endpoints will stop soon and accept no new requests.
 	Leaving bool
-	// Orders counts the orders that the endpoint has accepted.
+	// Orders is the number of orders that the endpoint has accepted.
 	Orders int64
 	// Domain is the fabric domain of an engine's VM.
 	Domain string
 	// Loaded is the model of the endpoint's last group, whose weights are in
-	// memory; empty when there is none.
+	// memory. It is empty if there is none.
 	Loaded string
-	// Staged are the models on the host.
+	// Staged lists the models whose weights are on the host.
 	Staged []string
-	// Member is nil when the endpoint belongs to no group.
+	// Member is nil if the endpoint belongs to no group.
 	Member *Membership
-	// Slowness is how many times slower than usual the endpoint works; 0 when
-	// it did not say.
+	// Slowness is the factor by which the endpoint is slower than usual. It is
+	// 0 if the endpoint did not report it.
 	Slowness float64
 	// Revision is the store's revision of the entry.
 	Revision int64
 }
 
-// Life returns the life that the endpoint is known in.
+// Life returns the registered instance of the endpoint.
 func (ep *Endpoint) Life() Life { return Life{ep.ID, ep.Incarnation} }
 
-// HasStaged tells whether the model is on the endpoint's host.
+// HasStaged reports whether the model's weights are on the endpoint's host.
 func (ep *Endpoint) HasStaged(model string) bool { return slices.Contains(ep.Staged, model) }
 
-// Report is what an endpoint answers when it is asked directly.
+// Report is an endpoint's response to a direct probe.
 type Report struct {
 	Incarnation Incarnation
-	// Orders counts the orders accepted since the start of the process.
+	// Orders is the number of orders accepted since the process started.
 	Orders   int64
 	Busy     bool
 	Domain   string
@@ -91,7 +92,7 @@
 	Slowness float64
 }
 
-// Apply puts a report over what the store said.
+// Apply returns ep, as read from the store, updated with the report.
 func (re Report) Apply(ep Endpoint) Endpoint {
 	if re.Incarnation != 0 {
 		ep.Incarnation = re.Incarnation
@@ -107,9 +108,10 @@
 	return ep
 }
 
-// slowEndpoint is the slowness from which an endpoint's VM holds a group back
-// more than its replacement costs.
-const slowEndpoint = 1.8
+// slowThreshold is the slowness above which a VM costs its group more than
+// replacing the VM does.
+const slowThreshold = 1.8
 
-// Slow tells whether the endpoint is far slower than it should be.
-func (ep *Endpoint) Slow() bool { return ep.Slowness > slowEndpoint }
+// Slow reports whether the endpoint's slowness is above the threshold for
+// replacing its VM.
+func (ep *Endpoint) Slow() bool { return ep.Slowness > slowThreshold }
--- a/internal/core/catalog/fold.go
+++ b/internal/core/catalog/fold.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-// Fold builds a view from the endpoints' entries alone, for a daemon that no
-// steward tells what to use. Entries lag, so a group of the previous view
-// stays while its head is registered and does not say otherwise.
+// Fold builds a view from the endpoints' entries in the store alone, for a
+// daemon that receives no views from a steward. Entries lag, so a group of the
+// previous view stays while its head is registered and does not report
+// otherwise.
 func Fold(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
 	vi := &View{Revision: revision, Plain: PlainEndpoints(endpoints, cfg)}
 	if previous != nil {
@@ -18,13 +19,16 @@
 		}
 	}
 	for _, gr := range openGroups(endpoints, cfg) {
-		if !slices.ContainsFunc(vi.Groups, func(have Group) bool { return have.Name == gr.Name && have.Epoch == gr.Epoch }) {
+		if !slices.ContainsFunc(vi.Groups, func(kept Group) bool { return kept.Name == gr.Name && kept.Epoch == gr.Epoch }) {
 			vi.Groups = append(vi.Groups, gr)
 		}
 	}
 	return vi
 }
 
+// stillOpen reports whether a group of a previous view may still be used: its
+// head is registered, is not leaving and reports no other group or state, and
+// no member has restarted.
 func (gr *Group) stillOpen(endpoints map[string]Endpoint) bool {
 	head, ok := endpoints[gr.Head().ID]
 	if !ok || head.Leaving {
@@ -37,8 +41,8 @@
 	return mb == nil || mb.Group == gr.Name && mb.Epoch == gr.Epoch && (mb.State == Open || mb.State == Ready)
 }
 
-// restarted tells whether a member has started again since it joined: it holds
-// nothing of the group any more, and what is sent to the head would stand still.
+// restarted reports whether a member has restarted since it joined. Such a
+// member has lost the group's state, and requests sent to the head would stall.
 func (gr *Group) restarted(endpoints map[string]Endpoint) bool {
 	return slices.ContainsFunc(gr.Members, func(me Member) bool {
 		ep, ok := endpoints[me.ID]
@@ -46,7 +50,7 @@
 	})
 }
 
-// openGroups returns the whole groups whose heads say that they are open.
+// openGroups returns the complete groups whose heads report that they are open.
 func openGroups(endpoints map[string]Endpoint, cfg *Config) []Group {
 	var groups []Group
 	for _, id := range slices.Sorted(maps.Keys(endpoints)) {
@@ -54,14 +58,16 @@
 		if mb := head.Member; mb == nil || mb.State != Open || mb.Rank != 0 || head.Leaving {
 			continue
 		}
-		if gr, ok := wholeGroup(head, endpoints, cfg); ok {
+		if gr, ok := completeGroup(head, endpoints, cfg); ok {
 			groups = append(groups, gr)
 		}
 	}
 	return groups
 }
 
-func wholeGroup(head Endpoint, endpoints map[string]Endpoint, cfg *Config) (Group, bool) {
+// completeGroup returns the group of the given head if all its members are
+// registered in the same epoch.
+func completeGroup(head Endpoint, endpoints map[string]Endpoint, cfg *Config) (Group, bool) {
 	se := cfg.Services[head.Service]
 	if se.Engine == nil {
 		return Group{}, false
@@ -85,7 +91,8 @@
 	return gr, found == mo.Size
 }
 
-// PlainEndpoints returns the endpoints of services without groups.
+// PlainEndpoints returns the endpoints of services without groups, sorted by
+// ID.
 func PlainEndpoints(endpoints map[string]Endpoint, cfg *Config) []PlainEndpoint {
 	var plain []PlainEndpoint
 	for _, id := range slices.Sorted(maps.Keys(endpoints)) {
--- a/internal/core/catalog/order.go
+++ b/internal/core/catalog/order.go
@@ -1,11 +1,11 @@
 package catalog
 
-// Order tells an endpoint what to do. It is one of Join, OpenGroup,
+// Order is an instruction to an endpoint. It is one of Join, OpenGroup,
 // CloseGroup, Leave and Stage.
 type Order interface{ isOrder() }
 
-// Join makes the endpoint a member of a group. Members are IDs in the order of
-// their ranks; the first is the head.
+// Join makes the endpoint a member of a group. Members holds the IDs in order
+// of rank; the first is the head.
 type Join struct {
 	Group   string
 	Epoch   int64
@@ -13,17 +13,18 @@
 	Members []string
 }
 
-// OpenGroup makes a head that is ready take requests.
+// OpenGroup makes a ready head accept requests.
 type OpenGroup struct {
 	Group string
 	Epoch int64
 }
 
-// CloseGroup makes a head stop taking requests.
+// CloseGroup makes a head stop accepting requests.
 type CloseGroup struct {
 	Group string
 	Epoch int64
-	// CutOff ends what the group works on; otherwise the group finishes it.
+	// CutOff aborts the group's running requests. Otherwise the group finishes
+	// them.
 	CutOff bool
 }
 
@@ -33,7 +34,7 @@
 	Epoch int64
 }
 
-// Stage loads a model onto the endpoint's host beside all other work.
+// Stage copies a model's weights to the endpoint's host in the background.
 type Stage struct{ Model string }
 
 func (Join) isOrder()       {}
@@ -42,8 +43,8 @@
 func (Leave) isOrder()      {}
 func (Stage) isOrder()      {}
 
-// Summary tells an order in a few words for logs. The members of a group are told once,
-// when it is formed: with 32 of them, each of its orders would name all.
+// Summary describes an order for logs. It omits the members of a group, of
+// which there can be 32; they are logged once, when the group is formed.
 func Summary(order Order) string {
 	switch od := order.(type) {
 	case Join:
--- a/internal/core/catalog/routes.go
+++ b/internal/core/catalog/routes.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// routeIndex finds routes by host and prefix.
+// routeIndex maps hosts to their routes by prefix.
 type routeIndex map[string]map[string]*Route
 
-// Prepare builds the indexes of a decoded configuration. A lookup then costs a
-// map access for each slash of the path, however many routes there are.
+// Prepare builds the lookup indexes of a decoded configuration. A route lookup
+// then costs one map access per slash of the path, however many routes there
+// are.
 func (co *Config) Prepare() {
 	co.index = make(routeIndex)
 	for i := range co.Routes {
@@ -25,8 +26,8 @@
 	}
 }
 
-// Route returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Route returns the route of the host with the longest prefix that matches the
+// path, or nil. A port in host is ignored.
 func (co *Config) Route(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// View is what a daemon routes by: the endpoints and the groups that serve.
-// It is replaced as a whole and never changed.
+// View holds the endpoints and groups that a daemon routes requests to. It is
+// replaced as a whole and never modified.
 type View struct {
-	// Term is the steward's, Sequence counts its views. A view that a daemon
-	// built itself from the store has term 0.
+	// Term is the term of the steward that published the view, Sequence the
+	// number of the view within it. A view that a daemon built from the store
+	// has term 0.
 	Term     int64 `json:"term"`
 	Sequence int64 `json:"sequence"`
-	// Revision is the store's revision that the endpoints are known at.
+	// Revision is the store's revision that the view is based on.
 	Revision int64 `json:"revision"`
-	// Plain are the endpoints of services without groups.
+	// Plain lists the endpoints of services without groups.
 	Plain  []PlainEndpoint `json:"plain"`
 	Groups []Group         `json:"groups"`
 }
 
-// PlainEndpoint is an endpoint that serves by itself.
+// PlainEndpoint is an endpoint that serves without a group.
 type PlainEndpoint struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
@@ -24,14 +25,14 @@
 	DataCenter string `json:"data-center"`
 	Slots      int    `json:"slots"`
 	Leaving    bool   `json:"leaving,omitempty"`
-	// Incarnation is the process's life that the view speaks of.
+	// Incarnation is the incarnation of the process that the view refers to.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 }
 
-// Life returns the life that the view speaks of.
+// Life returns the instance that the view refers to.
 func (pe *PlainEndpoint) Life() Life { return Life{pe.ID, pe.Incarnation} }
 
-// Group is a whole group whose head is open.
+// Group is a complete group whose head is open.
 type Group struct {
 	Name       string   `json:"name"`
 	Epoch      int64    `json:"epoch"`
@@ -39,56 +40,57 @@
 	Model      string   `json:"model"`
 	DataCenter string   `json:"data-center"`
 	Members    []Member `json:"members"`
-	// Leaving groups finish what they have and take nothing new.
+	// Leaving groups finish the requests that they have and accept no new ones.
 	Leaving bool `json:"leaving,omitempty"`
 	// Slowness is that of the slowest member.
 	Slowness float64 `json:"slowness,omitempty"`
 }
 
-// Head is the member that takes the requests.
+// Head returns the member that accepts the requests.
 func (gr *Group) Head() Member { return gr.Members[0] }
 
-// Member is an endpoint of a group, in the order of its rank.
+// Member is an endpoint of a group. Members are listed in order of rank.
 type Member struct {
 	ID      string `json:"id" cbor:"1,keyasint"`
 	Address string `json:"address" cbor:"2,keyasint"`
-	// Incarnation is the life in which the endpoint joined the group.
+	// Incarnation is the incarnation in which the endpoint joined the group.
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// Life returns the life in which the endpoint joined the group.
+// Life returns the instance that joined the group.
 func (me *Member) Life() Life { return Life{me.ID, me.Incarnation} }
 
-// Newer tells whether a view replaces another. Views are ordered by term and
-// sequence; one built from the store replaces an older one by its revision.
-func (vi *View) Newer(than *View) bool {
-	if than == nil {
+// Newer reports whether vi replaces other. Two views of stewards are ordered by
+// term, then by sequence. If one of the two was built from the store, they are
+// ordered by revision.
+func (vi *View) Newer(other *View) bool {
+	if other == nil {
 		return true
 	}
-	if vi.Term != 0 && than.Term != 0 {
-		return vi.Term > than.Term || vi.Term == than.Term && vi.Sequence > than.Sequence
+	if vi.Term != 0 && other.Term != 0 {
+		return vi.Term > other.Term || vi.Term == other.Term && vi.Sequence > other.Sequence
 	}
-	return vi.Revision >= than.Revision
+	return vi.Revision >= other.Revision
 }
 
-// Lives returns the endpoints that requests are sent to by the view: those without
-// groups, and the groups' heads.
+// Lives returns the instances that requests are sent to: the endpoints without
+// groups and the heads of the groups.
 func (vi *View) Lives() []Life {
-	var lives []Life
+	var instances []Life
 	for i := range vi.Plain {
-		lives = append(lives, vi.Plain[i].Life())
+		instances = append(instances, vi.Plain[i].Life())
 	}
 	for _, gr := range vi.Groups {
-		lives = append(lives, gr.Members[0].Life())
+		instances = append(instances, gr.Members[0].Life())
 	}
-	return lives
+	return instances
 }
 
-// Without returns the view without the endpoints for which gone is true and
-// without the groups whose heads they are.
-func (vi *View) Without(gone func(li Life) bool) *View {
-	left := *vi
-	left.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return gone(ep.Life()) })
-	left.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return gone(gr.Members[0].Life()) })
-	return &left
+// Without returns a copy of the view without the plain endpoints for which ended
+// is true and without the groups for whose heads it is true.
+func (vi *View) Without(ended func(li Life) bool) *View {
+	rest := *vi
+	rest.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return ended(ep.Life()) })
+	rest.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return ended(gr.Members[0].Life()) })
+	return &rest
 }
