--- a/internal/core/chain/chain.go
+++ b/internal/core/chain/chain.go
@@ -1,13 +1,13 @@
-// Package chain keeps the configuration as an immutable chain of entries
-// with one small head. An apply writes its entry under the digest of its
-// content, then compare-and-swaps the head: the head alone decides which of
-// several racing operators won, and the revision in it only grows.
+// Package chain stores the configuration as an immutable chain of entries with
+// one small mutable head. An apply writes its entry under the digest of its
+// content, then updates the head by compare-and-swap. The head alone decides
+// which of several concurrent operators succeeds, and its revision only grows.
 //
-// Objects travel singly: an entry holds only what changed, so that one change
-// costs the size of the change and not of the whole configuration. Every
-// SnapshotEvery revisions a snapshot of the whole is written, in pieces below
-// the platform's value limit, so that a daemon that starts reads a bounded
-// number of entries.
+// An entry holds only the objects that changed, so the cost of a change depends
+// on its own size and not on that of the configuration. Every SnapshotEvery
+// revisions a snapshot of the whole configuration is written, in pieces below
+// the platform's value limit, so that a starting daemon reads a bounded number
+// of entries.
 package chain
 
 import (
@@ -25,22 +25,22 @@
 // SnapshotEvery is the number of revisions between two snapshots.
 const SnapshotEvery = 64
 
-// PieceBytes bounds one piece of a snapshot, well under the platform's limit
-// of a megabyte for one value.
+// PieceBytes is the target size of one piece of a snapshot, well below the
+// platform's limit of a megabyte for one value.
 const PieceBytes = 512 << 10
 
-// MaxEntryBytes bounds one change.
+// MaxEntryBytes is the largest size of one change.
 const MaxEntryBytes = 900 << 10
 
-// Head names the newest entry. It is the only value of the configuration
+// Head identifies the newest entry. It is the only value of the configuration
 // that is ever overwritten.
 type Head struct {
 	Revision uint64 `json:"revision"`
 	// Entry is the digest of the entry of this revision.
 	Entry string `json:"entry"`
-	// Recent holds the newest operations, the last one first, so that an
-	// apply whose answer was lost finds out by reading whether it won, even
-	// after others have won since.
+	// Recent holds the most recent operations, newest first. An apply whose
+	// answer was lost reads it to find out whether it succeeded, even after
+	// later applies.
 	Recent []Operation `json:"recent"`
 	// Snapshot lists the digests of the pieces of the newest snapshot.
 	Snapshot []string `json:"snapshot,omitempty"`
@@ -48,16 +48,17 @@
 	SnapshotRevision uint64 `json:"snapshot-revision"`
 }
 
-// RecentOperations is how many operations a head remembers.
+// RecentOperations is the maximum number of operations in Head.Recent.
 const RecentOperations = 64
 
-// Operation is an apply that a head remembers.
+// Operation identifies an apply and the revision that it created.
 type Operation struct {
 	ID       string `json:"id"`
 	Revision uint64 `json:"revision"`
 }
 
-// Find returns the revision that an operation was applied at.
+// Find returns the revision that the operation created, if it is among the
+// recent ones.
 func (hd Head) Find(id string) (uint64, bool) {
 	for _, op := range hd.Recent {
 		if op.ID == id {
@@ -67,7 +68,8 @@
 	return 0, false
 }
 
-// Next returns the head that follows with the entry of that digest.
+// Next returns the head that follows hd once en, stored under digest, is
+// applied.
 func (hd Head) Next(en Entry, digest string) Head {
 	next := hd
 	next.Revision = en.Revision
@@ -80,7 +82,7 @@
 // Entry is one accepted change.
 type Entry struct {
 	Revision uint64 `json:"revision"`
-	// Parent is the digest of the entry before; empty for the first.
+	// Parent is the digest of the previous entry. It is empty for the first.
 	Parent    string                     `json:"parent,omitempty"`
 	Operation string                     `json:"operation"`
 	Operator  string                     `json:"operator,omitempty"`
@@ -100,7 +102,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// NewEntry returns the entry that puts ch after head.
+// NewEntry returns the entry that applies ch on top of head.
 func NewEntry(head Head, ch intent.Change, operation, operator string) (Entry, error) {
 	en := Entry{Revision: head.Revision + 1, Parent: head.Entry, Operation: operation, Operator: operator, Deletes: ch.Deletes}
 	if len(ch.Puts) > 0 {
@@ -116,19 +118,20 @@
 	return en, nil
 }
 
-// Change returns what the entry changes.
+// Change decodes the change that the entry holds.
 func (en Entry) Change() (intent.Change, error) {
 	obs, err := decodeAll(en.Puts)
 	return intent.Change{Puts: obs, Deletes: en.Deletes}, err
 }
 
-// IDs returns the sorted IDs of the objects that the entry touches.
+// IDs returns the sorted IDs of the objects that the entry puts or deletes.
 func (en Entry) IDs() []string {
 	ids := append(slices.Collect(maps.Keys(en.Puts)), en.Deletes...)
 	slices.Sort(ids)
 	return ids
 }
 
+// decodeAll decodes stored objects in the order of their IDs.
 func decodeAll(puts map[string]json.RawMessage) ([]intent.Object, error) {
 	var obs []intent.Object
 	for _, id := range slices.Sorted(maps.Keys(puts)) {
@@ -141,11 +144,12 @@
 	return obs, nil
 }
 
-// Advance returns cfg after the entry. An entry that does not follow cfg's
-// revision directly is refused: a gap or a step back is never applied.
+// Advance returns cfg with the entry applied. It returns an error if the entry
+// does not directly follow cfg's revision, so that entries are never skipped or
+// applied twice.
 func Advance(cfg *intent.Config, en Entry) (*intent.Config, error) {
 	if en.Revision != cfg.Revision+1 {
-		return nil, eris.Errorf("entry of revision %d does not follow revision %d", en.Revision, cfg.Revision)
+		return nil, eris.Errorf("entry of revision %d does not directly follow configuration revision %d", en.Revision, cfg.Revision)
 	}
 	ch, err := en.Change()
 	if err != nil {
@@ -173,7 +177,8 @@
 	return append(pieces, pc), nil
 }
 
-// Join puts the pieces of a snapshot together.
+// Join assembles a configuration from the pieces of a snapshot. It returns an
+// error if the pieces are of different revisions.
 func Join(pieces []Piece) (*intent.Config, error) {
 	cfg := intent.New()
 	for _, pc := range pieces {
@@ -185,7 +190,7 @@
 	}
 	for _, pc := range pieces {
 		if pc.Revision != cfg.Revision {
-			return nil, eris.New("pieces of different snapshots")
+			return nil, eris.New("snapshot pieces have different revisions")
 		}
 	}
 	return cfg, nil
