--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,14 +1,14 @@
-// Package claim makes work that must not repeat run at most once. Before such
-// a request is dispatched its key is claimed in a page of the platform's
-// key-value service; compare-and-swap on the page decides which of several
-// daemons may dispatch. The claim is never taken back unless the request
-// certainly did not run, so a daemon that dies between claim and answer
-// leaves a key that nobody dispatches again.
+// Package claim provides at-most-once execution of requests that must not be
+// repeated. Before such a request is dispatched, its key is claimed in a slice,
+// a value of the platform's key-value service. Compare-and-swap on that value
+// decides which of several daemons may dispatch. A claim is released only if
+// the request certainly did not run, so if a daemon fails between the claim and
+// the answer, the key is never dispatched again.
 //
-// Pages are sharded by the hash of workspace and key, and each shard is a
+// The keys are sharded by the hash of workspace and key, and each shard is a
 // sequence of slices. A full slice is sealed by compare-and-swap before the
-// next one is created, so at any moment at most one slice of a shard takes
-// claims, whatever any clock says.
+// next one is created. At most one slice of a shard therefore accepts claims at
+// any time, independent of clocks.
 package claim
 
 import (
@@ -19,63 +19,66 @@
 	"time"
 )
 
-// Shards is how many shards the keys are spread over. It is fixed: daemons
-// that disagreed would look for a key in different places.
+// Shards is the number of shards that the keys are distributed over. It is a
+// constant because daemons with different values would look up a key in
+// different shards.
 const Shards = 32
 
-// A slice is sealed when it holds SliceClaims claims or SliceBytes encoded
-// bytes. Outcomes are recorded in sealed slices too, so the first bound keeps
-// a slice below the platform's value limit: with a last batch of MaxBatch and
-// every outcome at its largest a slice has 640 KB.
+// A slice is sealed when it holds SliceClaims claims or more than SliceBytes
+// encoded bytes. Outcomes are recorded in sealed slices too, so SliceClaims
+// also keeps a slice below the platform's value limit: with a last batch of
+// MaxBatch and all outcomes at their maximum size, a slice has 640 KB.
 const (
 	SliceClaims = 256
 	SliceBytes  = 64 << 10
 	MaxBatch    = 128
 )
 
-// MaxOutcomeBytes is the largest answer body that is recorded. A larger one
-// is recorded by its status alone.
+// MaxOutcomeBytes is the largest response body that is recorded. Of a larger
+// one only the status is recorded.
 const MaxOutcomeBytes = 1 << 10
 
-// Retention is how long a key is remembered after its slice was sealed. A key
-// that comes again later is taken as new.
+// Retention is how long a key is kept after its slice was sealed. A request
+// that repeats the key later is treated as new.
 const Retention = 7 * 24 * time.Hour
 
-// State is what is known of a claimed request.
+// State is the state of a claimed request.
 type State string
 
 // States of a claim.
 const (
-	// Claimed: dispatched or about to be; it may run.
+	// Claimed means that the request has been or is about to be dispatched. It
+	// may run.
 	Claimed State = "claimed"
-	// Done: it ran and the outcome is recorded.
+	// Done means that the request ran and its outcome is recorded.
 	Done State = "done"
 )
 
-// Outcome is the recorded answer of a request that ran.
+// Outcome is the recorded response of a request that ran.
 type Outcome struct {
 	Status      int    `json:"status" cbor:"1,keyasint"`
 	ContentType string `json:"content-type,omitempty" cbor:"2,keyasint,omitempty"`
 	Body        []byte `json:"body,omitempty" cbor:"3,keyasint,omitempty"`
-	// Omitted means that the body was too large to record.
+	// Omitted means that the body was larger than MaxOutcomeBytes and was not
+	// recorded.
 	Omitted bool `json:"omitted,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
-// Claim is one key in a slice.
+// Claim is the entry of one key in a slice.
 type Claim struct {
 	// Holder identifies the attempt that made the claim.
 	Holder string `json:"holder"`
-	// Print is the fingerprint of the request: the same key with another
-	// request is refused.
+	// Print is the fingerprint of the request. A request that reuses the key
+	// with another fingerprint is refused.
 	Print   string   `json:"print"`
 	State   State    `json:"state"`
 	Outcome *Outcome `json:"outcome,omitempty"`
 }
 
-// Slice is the value of one page.
+// Slice is the value stored under one SliceKey.
 type Slice struct {
 	Sealed bool `json:"sealed,omitempty"`
-	// SealedAt dates the retention.
+	// SealedAt is the time of sealing, from which Retention counts.
 	SealedAt time.Time        `json:"sealed-at,omitzero"`
 	Claims   map[string]Claim `json:"claims"`
 }
@@ -83,39 +86,41 @@
 // Key identifies a non-repeatable request.
 type Key struct {
 	Shard int
-	// Hash is the digest of workspace and key; the key itself, which may be
-	// an account number, is not stored.
+	// Hash is the digest of workspace and key. The key itself is not stored,
+	// because it may be an account number.
 	Hash string
 }
 
+// hashBytes is the number of digest bytes kept in keys and fingerprints.
 const hashBytes = 16
 
-// NewKey returns the key of a request with that idempotency key.
+// NewKey returns the key of a request with the given idempotency key.
 func NewKey(workspace, key string) Key {
 	sum := sha256.Sum256([]byte(workspace + "\x00" + key))
 	return Key{Shard: int(sum[31]) % Shards, Hash: hex.EncodeToString(sum[:hashBytes])}
 }
 
-// Fingerprint identifies the content of a request.
+// Fingerprint returns a digest of the request's method, path and body.
 func Fingerprint(method, path string, body []byte) string {
 	sum := sha256.Sum256(append([]byte(method+" "+path+"\x00"), body...))
 	return hex.EncodeToString(sum[:hashBytes])
 }
 
-// SliceKey returns the platform key of a slice.
+// SliceKey returns the key of a slice in the platform's key-value service.
 func SliceKey(shard, slice int) string { return fmt.Sprintf("claims/%02d/%08d", shard, slice) }
 
-// ShardPrefix begins the platform keys of a shard's slices.
+// ShardPrefix returns the common prefix of the platform keys of a shard's
+// slices.
 func ShardPrefix(shard int) string { return fmt.Sprintf("claims/%02d/", shard) }
 
-// Kind is what an operation does.
+// Kind is the type of an operation.
 type Kind uint8
 
-// Kinds of operation.
+// Kinds of operations.
 const (
 	// Acquire claims the key.
 	Acquire Kind = iota + 1
-	// Release gives back the claim of a request that certainly did not run.
+	// Release removes the claim of a request that certainly did not run.
 	Release
 	// Record stores the outcome of a request that ran.
 	Record
@@ -131,28 +136,32 @@
 	Outcome *Outcome `cbor:"6,keyasint,omitempty"`
 }
 
-// Answer is what an operation came to.
+// Answer is the result code of an operation.
 type Answer uint8
 
-// Answers to an operation.
+// Results of an operation.
 const (
-	// Granted: the claim is ours and the request may be dispatched once.
+	// Granted means that the caller holds the claim and may dispatch the
+	// request once.
 	Granted Answer = iota + 1
-	// Duplicate: the key is claimed by another attempt that may have run.
+	// Duplicate means that another attempt, which may have run, holds the
+	// claim.
 	Duplicate
-	// Finished: the key ran and its outcome is known.
+	// Finished means that the request ran and its outcome is recorded.
 	Finished
-	// Mismatch: the key was used for another request.
+	// Mismatch means that the key was used for another request.
 	Mismatch
-	// Applied: the release or record is stored.
+	// Applied means that the release or the outcome is stored.
 	Applied
-	// Gone: there is no such claim to release or record.
+	// Gone means that there is no such claim to release or to record an outcome
+	// for.
 	Gone
-	// Unavailable: the operation is not stored, or not known to be.
+	// Unavailable means that the operation is not stored, or that its result is
+	// unknown.
 	Unavailable
 )
 
-// Result is the answer to an operation.
+// Result is the answer to an operation. Outcome is set if Answer is Finished.
 type Result struct {
 	Answer  Answer   `cbor:"1,keyasint"`
 	Outcome *Outcome `cbor:"2,keyasint,omitempty"`
@@ -169,16 +178,18 @@
 	case cl.State == Done:
 		return Result{Answer: Finished, Outcome: cl.Outcome}, true
 	case cl.Holder == op.Holder:
-		// Our own earlier write whose answer was lost.
+		// An earlier write of the same holder succeeded, but its answer was
+		// lost.
 		return Result{Answer: Granted}, true
 	}
 	return Result{Answer: Duplicate}, true
 }
 
-// Apply carries out a batch of operations on the slice in place. It returns
-// a result for each, and whether the slice changed. An Acquire must have been
-// looked up in the older slices before. An Acquire on a sealed slice that
-// does not hold the key yields no result (Answer 0): it belongs to the next.
+// Apply executes a batch of operations on the slice in place. It returns one
+// result for each operation and whether the slice changed. The caller must
+// already have looked up each Acquire in the older slices. An Acquire on a
+// sealed slice that does not hold the key returns the zero Result: it belongs
+// in the next slice.
 func (sl *Slice) Apply(ops []Op) ([]Result, bool) {
 	if sl.Claims == nil {
 		sl.Claims = make(map[string]Claim)
@@ -193,6 +204,8 @@
 	return results, changed
 }
 
+// apply executes one operation. It returns the result and whether the slice
+// changed.
 func (sl *Slice) apply(op Op) (Result, bool) {
 	switch op.Kind {
 	case Acquire:
@@ -231,7 +244,7 @@
 // Encode returns the stored form of the slice.
 func (sl Slice) Encode() ([]byte, error) { return json.Marshal(sl) }
 
-// Decode reads the stored form of a slice.
+// Decode decodes the stored form of a slice.
 func Decode(raw []byte) (Slice, error) {
 	var sl Slice
 	err := json.Unmarshal(raw, &sl)
@@ -247,12 +260,13 @@
 	sl.SealedAt = now
 }
 
-// Full tells whether the slice has to be sealed.
+// Full reports whether the slice has to be sealed. encoded is its encoded size
+// in bytes.
 func (sl Slice) Full(encoded int) bool {
 	return len(sl.Claims) >= SliceClaims || encoded > SliceBytes
 }
 
-// Expired tells whether the slice may be deleted.
+// Expired reports whether the slice may be deleted.
 func (sl Slice) Expired(now time.Time) bool {
 	return sl.Sealed && now.Sub(sl.SealedAt) > Retention
 }
