--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,8 +1,8 @@
-// Package admit decides which requests may go on to the engines when there
-// are more than capacity allows. Waiting requests are served by weighted fair
-// queueing over workspaces: a workspace gets its share when all want more,
-// and what others leave when they don't. A request that cannot be started
-// before its deadline is refused when it arrives, not after it has waited.
+// Package admit provides admission control for requests to the engines when
+// demand exceeds capacity. Waiting requests are served by weighted fair
+// queueing over workspaces: under contention each workspace gets its share, and
+// unused shares are available to the others. A request that is not expected to
+// start before its deadline is refused on arrival instead of after waiting.
 package admit
 
 import (
@@ -11,80 +11,96 @@
 	"time"
 )
 
-// Item is a request that asks to be admitted.
+// Item is a request for admission.
 type Item struct {
 	ID        uint64
 	Workspace string
-	// Share is the workspace's weight, above zero.
+	// Share is the workspace's weight. It is above zero.
 	Share float64
 	// Tokens is the estimated work of the request.
 	Tokens int64
 	// Priority orders requests of one workspace; higher goes first.
 	Priority int
-	// Deadline is when the request must have started.
+	// Deadline is the time by which the request must have started.
 	Deadline time.Time
 }
 
 // Verdict is the decision on an arriving item.
 type Verdict int
 
-// Decisions.
+// Verdicts.
 const (
-	// Admitted: the request may go on now.
+	// Admitted means that the request may start now.
 	Admitted Verdict = iota + 1
-	// Queued: it waits until Queue returns its ID.
+	// Queued means that the request waits until Finish or SetCapacity returns
+	// it.
 	Queued
-	// Refused: it would miss its deadline.
+	// Refused means that the request would miss its deadline, or that the queue
+	// is full.
 	Refused
 )
 
-// Decision is the answer to an arrival.
+// Decision is the result of Arrive.
 type Decision struct {
 	Verdict Verdict
-	// RetryAfter is when a refused request may find room.
+	// RetryAfter is how long the caller of a refused request should wait before
+	// it retries.
 	RetryAfter time.Duration
 }
 
 const (
-	// maxQueued bounds the queue whatever the deadlines are.
+	// maxQueued bounds the number of queued requests, whatever their deadlines
+	// are.
 	maxQueued = 10000
-	// rateWindow is the period over which the rate of work is measured.
+	// rateWindow is the minimum period over which the rate of finished work is
+	// measured.
 	rateWindow = time.Second
-	// rateDecay smooths the rate over several windows.
+	// rateDecay is the weight of earlier windows in the smoothed rate.
 	rateDecay = 0.7
-	minRetry  = 200 * time.Millisecond
-	maxRetry  = 30 * time.Second
+	// minRetry and maxRetry bound Decision.RetryAfter.
+	minRetry = 200 * time.Millisecond
+	maxRetry = 30 * time.Second
 )
 
-// flow is one workspace's queue.
+// flow is the queue of one workspace.
 type flow struct {
 	share float64
-	// finish is the virtual time at which the work given so far is paid for.
-	finish  float64
+	// virtualFinish is the virtual time at which the work admitted so far is
+	// paid for.
+	virtualFinish float64
+	// waiting holds the queued items by descending priority, tokens their sum.
 	waiting []Item
 	tokens  int64
 }
 
-// Queue admits requests to a capacity in tokens. It is not safe for use by
-// several goroutines. Make it with New.
+// Queue admits requests to a capacity in tokens. It is not safe for concurrent
+// use. Create it with New.
 type Queue struct {
+	// capacity is in tokens.
 	capacity int64
-	open     int64
-	virtual  float64
-	flows    map[string]*flow
-	size     int
-	// rate is the smoothed rate of finished work in tokens a second.
-	rate     float64
+	// inFlight is the number of tokens of admitted requests that have not
+	// ended.
+	inFlight int64
+	// virtualTime is the virtual start time of the request admitted last, in
+	// tokens per share.
+	virtualTime float64
+	flows       map[string]*flow
+	// size is the number of waiting requests.
+	size int
+	// rate is the smoothed rate of finished work in tokens per second.
+	rate float64
+	// finished counts the tokens finished since window, the start of the
+	// current rate window.
 	finished int64
 	window   time.Time
 }
 
-// New returns a queue for that capacity in tokens.
+// New returns a queue with the given capacity in tokens.
 func New(capacity int64, now time.Time) *Queue {
 	return &Queue{capacity: capacity, flows: make(map[string]*flow), window: now}
 }
 
-// Arrive decides on a new request.
+// Arrive decides on a new request: it is admitted, queued or refused.
 func (qu *Queue) Arrive(now time.Time, it Item) Decision {
 	qu.measure(now)
 	if qu.size == 0 && qu.fits(it) {
@@ -100,6 +116,8 @@
 	return Decision{Verdict: Queued}
 }
 
+// flow returns the workspace's flow with the share of the item. It creates a
+// missing flow.
 func (qu *Queue) flow(it Item) *flow {
 	fl, ok := qu.flows[it.Workspace]
 	if !ok {
@@ -110,9 +128,10 @@
 	return fl
 }
 
+// enqueue inserts the item by descending priority.
 func (qu *Queue) enqueue(fl *flow, it Item) {
 	at, _ := slices.BinarySearchFunc(fl.waiting, it, func(a, b Item) int {
-		// Equal priorities keep the order of arrival.
+		// Requests of equal priority stay in order of arrival.
 		return cmp.Or(cmp.Compare(b.Priority, a.Priority), -1)
 	})
 	fl.waiting = slices.Insert(fl.waiting, at, it)
@@ -120,23 +139,25 @@
 	qu.size++
 }
 
-// fits tells whether the request may start now. One larger than the whole
-// capacity starts when nothing else runs.
+// fits reports whether the request may start now. A request larger than the
+// whole capacity starts when nothing else runs.
 func (qu *Queue) fits(it Item) bool {
-	return qu.capacity > 0 && (qu.open == 0 || qu.open+it.Tokens <= qu.capacity)
+	return qu.capacity > 0 && (qu.inFlight == 0 || qu.inFlight+it.Tokens <= qu.capacity)
 }
 
-// admit charges the workspace for the request and moves the virtual time to
-// its start. A workspace that was idle starts from there: it gains nothing by
-// having waited, and one that used what others left owes nothing for it.
+// admit charges the workspace for the request and advances the virtual time to
+// the request's start. A workspace that was idle starts from the current
+// virtual time: it accumulates no credit while idle, and one that used the
+// unused shares of others is not charged for that later.
 func (qu *Queue) admit(fl *flow, it Item) {
-	qu.open += it.Tokens
-	qu.virtual = max(fl.finish, qu.virtual)
-	fl.finish = qu.virtual + float64(it.Tokens)/fl.share
+	qu.inFlight += it.Tokens
+	qu.virtualTime = max(fl.virtualFinish, qu.virtualTime)
+	fl.virtualFinish = qu.virtualTime + float64(it.Tokens)/fl.share
 }
 
-// estimate returns how long the request would wait: the work of its workspace
-// that stands before it, at the workspace's share of the measured rate.
+// estimate returns the expected waiting time of the request: the work of its
+// workspace that is queued before it plus its own, divided by the workspace's
+// share of the measured rate. It is zero while no rate has been measured.
 func (qu *Queue) estimate(fl *flow, it Item) time.Duration {
 	if qu.rate <= 0 {
 		return 0
@@ -157,15 +178,15 @@
 	return time.Duration(min(sec, maxRetry.Seconds()*10) * float64(time.Second))
 }
 
-// Finish says that an admitted request of that many tokens has ended, and
-// returns the requests that may start now.
+// Finish records that an admitted request with the given number of tokens has
+// ended, and returns the requests that may start now.
 func (qu *Queue) Finish(now time.Time, tokens int64) []Item {
-	qu.open -= tokens
+	qu.inFlight -= tokens
 	qu.finished += tokens
 	return qu.next(now)
 }
 
-// SetCapacity changes the capacity and returns the requests that may start.
+// SetCapacity changes the capacity and returns the requests that may start now.
 func (qu *Queue) SetCapacity(now time.Time, capacity int64) []Item {
 	qu.capacity = capacity
 	return qu.next(now)
@@ -176,7 +197,7 @@
 	qu.measure(now)
 	var items []Item
 	for qu.size > 0 {
-		fl := qu.first()
+		fl := qu.nextFlow()
 		it := fl.waiting[0]
 		if !qu.fits(it) {
 			break
@@ -190,8 +211,9 @@
 	return items
 }
 
-// first returns the waiting workspace that has had the least for its share.
-func (qu *Queue) first() *flow {
+// nextFlow returns the flow with waiting requests that has received the least
+// work relative to its share.
+func (qu *Queue) nextFlow() *flow {
 	var best *flow
 	for _, fl := range qu.flows {
 		if len(fl.waiting) > 0 && (best == nil || less(fl, best)) {
@@ -201,14 +223,16 @@
 	return best
 }
 
-func less(fl, than *flow) bool {
-	if fl.finish != than.finish {
-		return fl.finish < than.finish
+// less orders flows by virtual finish time, then by the ID of their first
+// request, so that the order does not depend on map iteration.
+func less(fl, other *flow) bool {
+	if fl.virtualFinish != other.virtualFinish {
+		return fl.virtualFinish < other.virtualFinish
 	}
-	return fl.waiting[0].ID < than.waiting[0].ID
+	return fl.waiting[0].ID < other.waiting[0].ID
 }
 
-// Cancel removes a waiting request and tells whether it was there.
+// Cancel removes a waiting request and reports whether it was queued.
 func (qu *Queue) Cancel(workspace string, id uint64) bool {
 	fl, ok := qu.flows[workspace]
 	if !ok {
@@ -224,25 +248,26 @@
 	return true
 }
 
-// measure keeps the rate of finished work.
+// measure updates the smoothed rate of finished work once per rateWindow.
 func (qu *Queue) measure(now time.Time) {
-	gone := now.Sub(qu.window)
-	if gone < rateWindow {
+	elapsed := now.Sub(qu.window)
+	if elapsed < rateWindow {
 		return
 	}
-	rate := float64(qu.finished) / gone.Seconds()
-	if qu.size > 0 || qu.open > 0 {
+	rate := float64(qu.finished) / elapsed.Seconds()
+	if qu.size > 0 || qu.inFlight > 0 {
 		qu.rate = qu.rate*rateDecay + rate*(1-rateDecay)
 	}
 	qu.finished = 0
 	qu.window = now
-	qu.forgetIdle()
+	qu.removeIdleFlows()
 }
 
-// forgetIdle drops workspaces that have nothing waiting and nothing to pay.
-func (qu *Queue) forgetIdle() {
+// removeIdleFlows removes workspaces without waiting requests whose admitted
+// work is paid for.
+func (qu *Queue) removeIdleFlows() {
 	for name, fl := range qu.flows {
-		if len(fl.waiting) == 0 && fl.finish <= qu.virtual {
+		if len(fl.waiting) == 0 && fl.virtualFinish <= qu.virtualTime {
 			delete(qu.flows, name)
 		}
 	}
@@ -251,8 +276,8 @@
 // Size returns the number of waiting requests.
 func (qu *Queue) Size() int { return qu.size }
 
-// Open returns the tokens of admitted requests that have not ended.
-func (qu *Queue) Open() int64 { return qu.open }
+// Open returns the number of tokens of admitted requests that have not ended.
+func (qu *Queue) Open() int64 { return qu.inFlight }
 
 // Capacity returns the capacity in tokens.
 func (qu *Queue) Capacity() int64 { return qu.capacity }
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -12,7 +12,7 @@
 	return Item{ID: uint64(id), Workspace: workspace, Share: share, Tokens: tokens, Deadline: begin.Add(time.Hour)}
 }
 
-// driver keeps ten requests of each workspace waiting.
+// driver keeps up to ten requests of each workspace waiting.
 type driver struct {
 	qu      *Queue
 	now     time.Time
@@ -23,7 +23,8 @@
 
 func newDriver(qu *Queue) *driver { return &driver{qu: qu, now: begin, waiting: make(map[string]int)} }
 
-// drive ends that many requests and returns the tokens each workspace got.
+// drive ends rounds requests and returns the tokens that each workspace
+// received.
 func (dr *driver) drive(shares map[string]float64, rounds int) map[string]int64 {
 	got := make(map[string]int64)
 	for range rounds {
@@ -43,6 +44,7 @@
 	return got
 }
 
+// arrive submits one request and reports whether it was not refused.
 func (dr *driver) arrive(name string, share float64) bool {
 	dr.id++
 	it := item(dr.id, name, share, 10)
@@ -58,8 +60,8 @@
 	return true
 }
 
-// One workspace is larger than all others together. When all want more than
-// there is, each gets its share.
+// Guards against a workspace that exceeds its share because it is larger than
+// all others together: under contention each workspace gets its share.
 func TestShares(t *testing.T) {
 	qu := New(100, begin)
 	got := newDriver(qu).drive(map[string]float64{"large": 60, "mid": 30, "small": 10}, 4000)
@@ -71,16 +73,16 @@
 	}
 }
 
-// A workspace uses what others leave and owes nothing for it: when they come
-// back it does not have to wait until they have caught up.
-func TestLeftoversAreNoDebt(t *testing.T) {
+// Guards against charging a workspace for the unused shares of others: when the
+// others return, it must not wait until they have caught up.
+func TestUnusedSharesAreNotCharged(t *testing.T) {
 	dr := newDriver(New(100, begin))
 	if got := dr.drive(map[string]float64{"large": 50}, 1000)["large"]; got != 10000 {
-		t.Fatalf("alone it got %d tokens, want all 10000", got)
+		t.Fatalf("the only workspace got %d tokens, want 10000", got)
 	}
 	got := dr.drive(map[string]float64{"large": 50, "late": 50}, 1000)
 	if got["large"] < 4500 || got["late"] < 4500 {
-		t.Errorf("got %v, want about half each", got)
+		t.Errorf("got tokens %v, want at least 4500 for each workspace", got)
 	}
 }
 
@@ -88,7 +90,7 @@
 	slow := func() *Queue {
 		qu := New(100, begin)
 		qu.Arrive(begin, item(1, "a", 1, 100))
-		// A hundred tokens a second are finished from here on.
+		// The measured rate is 100 tokens per second.
 		qu.rate = 100
 		return qu
 	}
@@ -114,7 +116,7 @@
 				t.Errorf("verdict = %v, want %v", de.Verdict, tc.want)
 			}
 			if de.Verdict == Refused && de.RetryAfter <= 0 {
-				t.Error("a refusal does not say when to come back")
+				t.Error("refused request has no RetryAfter")
 			}
 		})
 	}
@@ -144,9 +146,9 @@
 	qu.Arrive(begin, item(1, "a", 1, 10))
 	qu.Arrive(begin, item(2, "a", 1, 10))
 	if !qu.Cancel("a", 2) || qu.Cancel("a", 2) {
-		t.Error("cancel must find a waiting request once")
+		t.Error("Cancel did not report a waiting request exactly once")
 	}
 	if items := qu.Finish(begin, 10); len(items) != 0 || qu.Open() != 0 {
-		t.Errorf("a cancelled request was admitted: %v", items)
+		t.Errorf("Finish admitted canceled requests: %v", items)
 	}
 }
