--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -276,8 +276,9 @@
 // Size returns the number of waiting requests.
 func (qu *Queue) Size() int { return qu.size }
 
-// Open returns the number of tokens of admitted requests that have not ended.
-func (qu *Queue) Open() int64 { return qu.inFlight }
+// InFlight returns the number of tokens of admitted requests that have not
+// ended.
+func (qu *Queue) InFlight() int64 { return qu.inFlight }
 
 // Capacity returns the capacity in tokens.
 func (qu *Queue) Capacity() int64 { return qu.capacity }
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -148,7 +148,7 @@
 	if !qu.Cancel("a", 2) || qu.Cancel("a", 2) {
 		t.Error("Cancel did not report a waiting request exactly once")
 	}
-	if items := qu.Finish(begin, 10); len(items) != 0 || qu.Open() != 0 {
+	if items := qu.Finish(begin, 10); len(items) != 0 || qu.InFlight() != 0 {
 		t.Errorf("Finish admitted canceled requests: %v", items)
 	}
 }
--- a/internal/core/catalog/config.go
+++ b/internal/core/catalog/config.go
@@ -111,11 +111,11 @@
 	// StepPerKContext is added to a step for each 1,000 tokens of a decoding
 	// request's context.
 	StepPerKContext time.Duration
-	// ReadPerSecond is the prefill rate in prompt tokens per second.
-	ReadPerSecond float64
-	// PairsPerM is the prefill time for one million pairs of a token and an
-	// earlier token (attention).
-	PairsPerM time.Duration
+	// PrefillPerSecond is the prefill rate in prompt tokens per second.
+	PrefillPerSecond float64
+	// TimePerMillionPairs is the prefill time for one million pairs of a token
+	// and an earlier token (attention).
+	TimePerMillionPairs time.Duration
 	// Chunk is the maximum number of prompt tokens processed in one step.
 	Chunk int
 	// ReportLag is the maximum age of reported figures.
@@ -125,8 +125,9 @@
 	LoadsPerSecond float64
 	// LoadsAtOnce is the number of concurrent loads that run at full speed.
 	LoadsAtOnce int
-	// Form is the time from the order to open a group until the group serves.
-	Form time.Duration
+	// FormTime is the time from the order to open a group until the group
+	// serves.
+	FormTime time.Duration
 	// MeanPrompt and MeanAnswer are the mean token counts of a request's prompt
 	// and answer.
 	MeanPrompt, MeanAnswer float64
@@ -139,7 +140,7 @@
 	Name string
 	// Size is the number of VMs in a group of the model.
 	Size int
-	// Share is the model's share of the load at startup.
+	// Share is the model's initial share of the work.
 	Share float64
 	// Pace is the factor by which all times of a group are multiplied.
 	Pace float64
--- a/internal/core/catalog/demand.go
+++ b/internal/core/catalog/demand.go
@@ -26,11 +26,11 @@
 	// of its answer.
 	context := (prompt + answer/2) / requests
 	reading := 0.0
-	if en.ReadPerSecond > 0 {
-		reading = prompt / en.ReadPerSecond
+	if en.PrefillPerSecond > 0 {
+		reading = prompt / en.PrefillPerSecond
 	}
 	pairs := prompt * prompt / requests / 2
-	reading += pairs / 1e6 * en.PairsPerM.Seconds()
+	reading += pairs / 1e6 * en.TimePerMillionPairs.Seconds()
 	perToken := en.StepPerRequest.Seconds() + context/1000*en.StepPerKContext.Seconds()
 	perToken += en.Step.Seconds() / max(1, en.concurrency(context))
 	return mo.TimeFactor() * (reading + answer*perToken)
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -37,8 +37,8 @@
 // incarnation differs from none.
 func (in Incarnation) Differs(from Incarnation) bool { return in != from && in != 0 && from != 0 }
 
-// Life identifies one instance of a server process.
-type Life struct {
+// Instance identifies one instance of a server process.
+type Instance struct {
 	ID          string      `json:"id" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"2,keyasint,omitempty"`
 }
@@ -71,8 +71,8 @@
 	Revision int64
 }
 
-// Life returns the registered instance of the endpoint.
-func (ep *Endpoint) Life() Life { return Life{ep.ID, ep.Incarnation} }
+// Instance returns the registered instance of the endpoint.
+func (ep *Endpoint) Instance() Instance { return Instance{ep.ID, ep.Incarnation} }
 
 // HasStaged reports whether the model's weights are on the endpoint's host.
 func (ep *Endpoint) HasStaged(model string) bool { return slices.Contains(ep.Staged, model) }
--- a/internal/core/catalog/fold.go
+++ b/internal/core/catalog/fold.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Fold builds a view from the endpoints' entries in the store alone, for a
-// daemon that receives no views from a steward. Entries lag, so a group of the
-// previous view stays while its head is registered and does not report
+// ViewFromEntries builds a view from the endpoints' entries in the store alone,
+// for a daemon that receives no views from a steward. Entries lag, so a group
+// of the previous view stays while its head is registered and does not report
 // otherwise.
-func Fold(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
+func ViewFromEntries(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
 	vi := &View{Revision: revision, Plain: PlainEndpoints(endpoints, cfg)}
 	if previous != nil {
 		for _, gr := range previous.Groups {
--- a/internal/core/catalog/routes.go
+++ b/internal/core/catalog/routes.go
@@ -5,10 +5,10 @@
 // routeIndex maps hosts to their routes by prefix.
 type routeIndex map[string]map[string]*Route
 
-// Prepare builds the lookup indexes of a decoded configuration. A route lookup
-// then costs one map access per slash of the path, however many routes there
-// are.
-func (co *Config) Prepare() {
+// BuildIndexes builds the lookup indexes of a decoded configuration. A route
+// lookup then costs one map access per slash of the path, however many routes
+// there are.
+func (co *Config) BuildIndexes() {
 	co.index = make(routeIndex)
 	for i := range co.Routes {
 		ro := &co.Routes[i]
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -29,8 +29,8 @@
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 }
 
-// Life returns the instance that the view refers to.
-func (pe *PlainEndpoint) Life() Life { return Life{pe.ID, pe.Incarnation} }
+// Instance returns the instance that the view refers to.
+func (pe *PlainEndpoint) Instance() Instance { return Instance{pe.ID, pe.Incarnation} }
 
 // Group is a complete group whose head is open.
 type Group struct {
@@ -57,8 +57,8 @@
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// Life returns the instance that joined the group.
-func (me *Member) Life() Life { return Life{me.ID, me.Incarnation} }
+// Instance returns the instance that joined the group.
+func (me *Member) Instance() Instance { return Instance{me.ID, me.Incarnation} }
 
 // Newer reports whether vi replaces other. Two views of stewards are ordered by
 // term, then by sequence. If one of the two was built from the store, they are
@@ -73,24 +73,24 @@
 	return vi.Revision >= other.Revision
 }
 
-// Lives returns the instances that requests are sent to: the endpoints without
-// groups and the heads of the groups.
-func (vi *View) Lives() []Life {
-	var instances []Life
+// Instances returns the instances that requests are sent to: the endpoints
+// without groups and the heads of the groups.
+func (vi *View) Instances() []Instance {
+	var instances []Instance
 	for i := range vi.Plain {
-		instances = append(instances, vi.Plain[i].Life())
+		instances = append(instances, vi.Plain[i].Instance())
 	}
 	for _, gr := range vi.Groups {
-		instances = append(instances, gr.Members[0].Life())
+		instances = append(instances, gr.Members[0].Instance())
 	}
 	return instances
 }
 
-// Without returns a copy of the view without the plain endpoints for which ended
-// is true and without the groups for whose heads it is true.
-func (vi *View) Without(ended func(li Life) bool) *View {
+// Without returns a copy of the view without the plain endpoints for which
+// ended is true and without the groups for whose heads it is true.
+func (vi *View) Without(ended func(li Instance) bool) *View {
 	rest := *vi
-	rest.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return ended(ep.Life()) })
-	rest.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return ended(gr.Members[0].Life()) })
+	rest.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return ended(ep.Instance()) })
+	rest.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return ended(gr.Members[0].Instance()) })
 	return &rest
 }
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -68,11 +68,11 @@
 type Claim struct {
 	// Holder identifies the attempt that made the claim.
 	Holder string `json:"holder"`
-	// Print is the fingerprint of the request. A request that reuses the key
-	// with another fingerprint is refused.
-	Print   string   `json:"print"`
-	State   State    `json:"state"`
-	Outcome *Outcome `json:"outcome,omitempty"`
+	// Fingerprint is the fingerprint of the request. A request that reuses the
+	// key with another fingerprint is refused.
+	Fingerprint string   `json:"print"`
+	State       State    `json:"state"`
+	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
 // Slice is the value stored under one SliceKey.
@@ -128,12 +128,12 @@
 
 // Op is one operation on a claim.
 type Op struct {
-	Kind    Kind     `cbor:"1,keyasint"`
-	Shard   int      `cbor:"2,keyasint"`
-	Hash    string   `cbor:"3,keyasint"`
-	Holder  string   `cbor:"4,keyasint"`
-	Print   string   `cbor:"5,keyasint,omitempty"`
-	Outcome *Outcome `cbor:"6,keyasint,omitempty"`
+	Kind        Kind     `cbor:"1,keyasint"`
+	Shard       int      `cbor:"2,keyasint"`
+	Hash        string   `cbor:"3,keyasint"`
+	Holder      string   `cbor:"4,keyasint"`
+	Fingerprint string   `cbor:"5,keyasint,omitempty"`
+	Outcome     *Outcome `cbor:"6,keyasint,omitempty"`
 }
 
 // Answer is the result code of an operation.
@@ -153,9 +153,9 @@
 	Mismatch
 	// Applied means that the release or the outcome is stored.
 	Applied
-	// Gone means that there is no such claim to release or to record an outcome
-	// for.
-	Gone
+	// NotFound means that there is no such claim to release or to record an
+	// outcome for.
+	NotFound
 	// Unavailable means that the operation is not stored, or that its result is
 	// unknown.
 	Unavailable
@@ -173,7 +173,7 @@
 	switch {
 	case !ok:
 		return Result{}, false
-	case cl.Print != op.Print:
+	case cl.Fingerprint != op.Fingerprint:
 		return Result{Answer: Mismatch}, true
 	case cl.State == Done:
 		return Result{Answer: Finished, Outcome: cl.Outcome}, true
@@ -213,14 +213,14 @@
 	case Release:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: Gone}, false
+			return Result{Answer: NotFound}, false
 		}
 		delete(sl.Claims, op.Hash)
 		return Result{Answer: Applied}, true
 	case Record:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: Gone}, false
+			return Result{Answer: NotFound}, false
 		}
 		cl.State = Done
 		cl.Outcome = op.Outcome
@@ -237,7 +237,7 @@
 	if sl.Sealed {
 		return Result{}, false
 	}
-	sl.Claims[op.Hash] = Claim{Holder: op.Holder, Print: op.Print, State: Claimed}
+	sl.Claims[op.Hash] = Claim{Holder: op.Holder, Fingerprint: op.Fingerprint, State: Claimed}
 	return Result{Answer: Granted}, true
 }
 
--- a/internal/core/fleet/account.go
+++ b/internal/core/fleet/account.go
@@ -1,8 +1,8 @@
 package fleet
 
-// Account summarizes the availability of one data centre at one moment. It is
+// Stats summarizes the availability of one data centre at one moment. It is
 // encoded as JSON under its Go field names.
-type Account struct {
+type Stats struct {
 	// Down is the number of declared replicas that do not serve, by declared
 	// group.
 	Down map[string]int
@@ -17,9 +17,9 @@
 }
 
 // Count computes the account of the data centre that in describes.
-func Count(in Input) Account {
+func Count(in Input) Stats {
 	pl := newPlanner(in)
-	ac := Account{Down: make(map[string]int), Serving: make(map[string]int)}
+	ac := Stats{Down: make(map[string]int), Serving: make(map[string]int)}
 	busy := 0
 	for _, lo := range pl.groups(pl.serving) {
 		ac.Serving[lo.group().Spec]++
--- a/internal/core/fleet/adjust.go
+++ b/internal/core/fleet/adjust.go
@@ -96,7 +96,7 @@
 
 // warm reports whether the VM already holds the weights of gr.
 func (pl *planner) warm(vm VM, gr Group) bool {
-	re := pl.in.Seen[vm.Name].Report
+	re := pl.in.Observed[vm.Name].Report
 	return re.Model == gr.Model && re.Version == gr.Version
 }
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -61,11 +61,11 @@
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
 	Group       string `json:"group,omitempty"`
-	// Fence and Turn are the fencing token and the ring generation of the last
-	// accepted order. Engines that check fencing refuse orders with a lower
-	// pair.
-	Fence uint64 `json:"fence,omitempty"`
-	Turn  uint64 `json:"turn,omitempty"`
+	// Fence and Generation are the fencing token and the ring generation of the
+	// last accepted order. Engines that check fencing refuse orders with a
+	// lower pair.
+	Fence      uint64 `json:"fence,omitempty"`
+	Generation uint64 `json:"turn,omitempty"`
 	// Ring lists the VMs that serve together, the leader first.
 	Ring     []string    `json:"ring,omitempty"`
 	Model    string      `json:"model,omitempty"`
@@ -91,11 +91,11 @@
 	Requests int `json:"requests"`
 }
 
-// Same reports whether two reports of one VM are equal apart from the role and
-// the token counts of Load.
-func (re Report) Same(other Report) bool {
+// EqualExceptTokens reports whether two reports of one VM are equal apart from
+// the role and the token counts of Load.
+func (re Report) EqualExceptTokens(other Report) bool {
 	return re.Incarnation == other.Incarnation && re.Group == other.Group && re.Fence == other.Fence &&
-		re.Turn == other.Turn && re.Model == other.Model && re.Version == other.Version &&
+		re.Generation == other.Generation && re.Model == other.Model && re.Version == other.Version &&
 		re.Ready == other.Ready && re.Leaving == other.Leaving && re.Load.Requests == other.Load.Requests &&
 		slices.Equal(re.Ring, other.Ring) && slices.Equal(re.Adapters, other.Adapters)
 }
@@ -123,10 +123,10 @@
 	VM          VM
 	Incarnation string
 	Group       Group
-	// Ring lists the members that serve together, Turn is the generation of
+	// Ring lists the members that serve together, Generation is the number of
 	// that choice.
-	Ring []Member
-	Turn uint64
+	Ring       []Member
+	Generation uint64
 	// Loads means that the VM has to fetch the weights first.
 	Loads bool
 }
@@ -135,10 +135,10 @@
 type Release struct {
 	VM          VM
 	Incarnation string
-	// Fence and Turn are above those of the order that the VM followed before,
-	// compared as a pair.
-	Fence uint64
-	Turn  uint64
+	// Fence and Generation are above those of the order that the VM followed
+	// before, compared as a pair.
+	Fence      uint64
+	Generation uint64
 }
 
 // Prepare makes a free VM load weights ahead of time, so that it can replace a
@@ -147,7 +147,7 @@
 	VM          VM
 	Incarnation string
 	Fence       uint64
-	Turn        uint64
+	Generation  uint64
 	Model       string
 	Version     string
 }
@@ -221,10 +221,10 @@
 		re.Ready && !re.Leaving && slices.Equal(re.Ring, ring)
 }
 
-// Whole returns the ring in which gr serves. A ring serves if it has gr.Size
-// distinct members and the report of each of them, as returned by find, shows
-// it serving in that ring.
-func (gr Group) Whole(find func(vm string) (Report, bool)) ([]string, bool) {
+// ServingRing returns the ring in which gr serves. A ring serves if it has
+// gr.Size distinct members and the report of each of them, as returned by find,
+// shows it serving in that ring.
+func (gr Group) ServingRing(find func(vm string) (Report, bool)) ([]string, bool) {
 	for _, me := range gr.Members {
 		re, ok := find(me.VM)
 		if !ok || re.Group != gr.ID || len(re.Ring) != gr.Size || re.Ring[0] != me.VM {
--- a/internal/core/fleet/plan.go
+++ b/internal/core/fleet/plan.go
@@ -32,8 +32,8 @@
 	generationBits = 20
 )
 
-// Sighting is the state of a VM as observed by direct probes.
-type Sighting struct {
+// Observation is the state of a VM as observed by direct probes.
+type Observation struct {
 	Report Report
 	// At is the time at which the last answered probe was sent. It is zero if
 	// no probe was answered.
@@ -52,10 +52,10 @@
 	VMs []VM
 	// Domains holds the written assignments by domain name.
 	Domains map[string]Domain
-	// Seen holds the latest observation of each VM, by VM name.
-	Seen map[string]Sighting
-	// Ordered holds the time of the last order to each VM, by VM name.
-	Ordered map[string]time.Time
+	// Observed holds the latest observation of each VM, by VM name.
+	Observed map[string]Observation
+	// LastOrder holds the time of the last order to each VM, by VM name.
+	LastOrder map[string]time.Time
 	// ServingSince holds the time since which each group has been complete, by
 	// group ID.
 	ServingSince map[string]time.Time
@@ -164,7 +164,7 @@
 func (pl *planner) isolated() bool {
 	failing := 0
 	for name := range pl.vms {
-		if !pl.in.Seen[name].FailingSince.IsZero() {
+		if !pl.in.Observed[name].FailingSince.IsZero() {
 			failing++
 		}
 	}
@@ -173,7 +173,7 @@
 
 // report returns the latest report of a VM that answers probes.
 func (pl *planner) report(vm string) (Report, bool) {
-	si := pl.in.Seen[vm]
+	si := pl.in.Observed[vm]
 	if si.At.IsZero() || !si.FailingSince.IsZero() {
 		return Report{}, false
 	}
@@ -183,7 +183,7 @@
 // lost reports whether a member can no longer serve at its assigned
 // incarnation.
 func (pl *planner) lost(me Member) bool {
-	si, ok := pl.in.Seen[me.VM]
+	si, ok := pl.in.Observed[me.VM]
 	if !ok {
 		return false
 	}
@@ -194,7 +194,7 @@
 }
 
 func (pl *planner) leaving(vm string) bool {
-	return pl.vms[vm].Leaving || pl.in.Seen[vm].Report.Leaving
+	return pl.vms[vm].Leaving || pl.in.Observed[vm].Report.Leaving
 }
 
 // free reports whether a VM may be assigned: it answers, it is in no group
@@ -219,7 +219,7 @@
 // member makes a free VM a member of a group and marks it as owned.
 func (pl *planner) member(vm VM, group string) Member {
 	pl.owner[vm.Name] = group
-	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Seen[vm.Name].Report.Incarnation}
+	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Observed[vm.Name].Report.Incarnation}
 }
 
 // alive returns the members that are not lost.
@@ -235,7 +235,7 @@
 
 // serving reports whether gr is complete according to the latest observations.
 func (pl *planner) serving(gr Group) bool {
-	_, ok := gr.Whole(pl.report)
+	_, ok := gr.ServingRing(pl.report)
 	return ok
 }
 
@@ -260,12 +260,12 @@
 // need.
 func (pl *planner) order(do Domain) {
 	for _, gr := range do.Groups {
-		ring, turn, ok := pl.ring(gr)
+		ring, generation, ok := pl.ring(gr)
 		if !ok {
 			continue
 		}
 		for _, me := range gr.Members {
-			pl.join(gr, me, ring, turn)
+			pl.join(gr, me, ring, generation)
 		}
 	}
 }
@@ -277,18 +277,18 @@
 	var newest Report
 	for _, me := range gr.Members {
 		re, ok := pl.report(me.VM)
-		if ok && re.Group == gr.ID && re.Fence == gr.Fence && re.Turn > newest.Turn {
+		if ok && re.Group == gr.ID && re.Fence == gr.Fence && re.Generation > newest.Generation {
 			newest = re
 		}
 	}
 	if ring, ok := pl.aliveRing(gr, newest.Ring); ok {
-		return ring, newest.Turn, true
+		return ring, newest.Generation, true
 	}
 	alive := pl.alive(gr)
 	if len(alive) < gr.Size || !pl.mayReformRing(gr) {
 		return nil, 0, false
 	}
-	return alive[:gr.Size], max(newest.Turn+1, pl.in.Epoch<<generationBits), true
+	return alive[:gr.Size], max(newest.Generation+1, pl.in.Epoch<<generationBits), true
 }
 
 // aliveRing returns the members of a reported ring if it has the size of gr and
@@ -319,7 +319,7 @@
 
 // join orders one member to join the ring, unless the member already follows
 // it, is leaving, was ordered recently, or needs a load beyond the load budget.
-func (pl *planner) join(gr Group, me Member, ring []Member, turn uint64) {
+func (pl *planner) join(gr Group, me Member, ring []Member, generation uint64) {
 	re, ok := pl.report(me.VM)
 	if !ok || re.Incarnation != me.Incarnation || pl.leaving(me.VM) {
 		return
@@ -329,7 +329,7 @@
 		names[i] = rm.VM
 	}
 	loads := re.Model != gr.Model || re.Version != gr.Version
-	follows := re.Group == gr.ID && re.Fence == gr.Fence && re.Turn == turn && slices.Equal(re.Ring, names) &&
+	follows := re.Group == gr.ID && re.Fence == gr.Fence && re.Generation == generation && slices.Equal(re.Ring, names) &&
 		slices.Equal(re.Adapters, gr.Adapters)
 	if follows && (!loads || pl.loading(gr, me.VM)) || !pl.orderDue(me.VM) {
 		return
@@ -341,13 +341,13 @@
 		pl.in.LoadBudget--
 	}
 	target := VM{Name: me.VM, Address: me.Address, Domain: pl.vms[me.VM].Domain}
-	pl.out.Orders = append(pl.out.Orders, Join{VM: target, Incarnation: me.Incarnation, Group: gr, Ring: ring, Turn: turn, Loads: loads})
+	pl.out.Orders = append(pl.out.Orders, Join{VM: target, Incarnation: me.Incarnation, Group: gr, Ring: ring, Generation: generation, Loads: loads})
 }
 
 // loading reports whether a VM that follows its order may still be loading.
 // Such a VM is not ordered again, because some engines would restart the load.
 func (pl *planner) loading(gr Group, vm string) bool {
-	at, ok := pl.in.Ordered[vm]
+	at, ok := pl.in.LastOrder[vm]
 	timeout := loadTimeoutFactor*time.Duration(pl.in.Config.Models[gr.Model].LoadTime) + loadTimeoutMargin
 	return ok && pl.in.Now.Sub(at) < timeout
 }
@@ -355,7 +355,7 @@
 // orderDue reports whether OrderInterval has passed since the last order to the
 // VM.
 func (pl *planner) orderDue(vm string) bool {
-	at, ok := pl.in.Ordered[vm]
+	at, ok := pl.in.LastOrder[vm]
 	return !ok || pl.in.Now.Sub(at) >= OrderInterval
 }
 
@@ -373,7 +373,7 @@
 			continue
 		}
 		pl.out.Orders = append(pl.out.Orders, Release{VM: vm, Incarnation: re.Incarnation,
-			Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn+1, pl.in.Epoch<<generationBits)})
+			Fence: pl.in.Domains[vm.Domain].Sequence, Generation: max(re.Generation+1, pl.in.Epoch<<generationBits)})
 	}
 }
 
--- a/internal/core/fleet/repair.go
+++ b/internal/core/fleet/repair.go
@@ -183,13 +183,13 @@
 // prepare orders one free VM to load the weights of gr, unless it has them, was
 // ordered recently or may still be loading, or the load budget is used up.
 func (pl *planner) prepare(vm VM, gr Group) {
-	re := pl.in.Seen[vm.Name].Report
+	re := pl.in.Observed[vm.Name].Report
 	if pl.warm(vm, gr) || pl.in.LoadBudget <= 0 || !pl.orderDue(vm.Name) || pl.loading(gr, vm.Name) {
 		return
 	}
 	pl.in.LoadBudget--
 	pl.out.Orders = append(pl.out.Orders, Prepare{VM: vm, Incarnation: re.Incarnation,
-		Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn, pl.in.Epoch<<generationBits), Model: gr.Model, Version: gr.Version})
+		Fence: pl.in.Domains[vm.Domain].Sequence, Generation: max(re.Generation, pl.in.Epoch<<generationBits), Model: gr.Model, Version: gr.Version})
 }
 
 // preempt drains a group of lower priority in the same domain if its VMs can
@@ -261,7 +261,7 @@
 			continue
 		}
 		missing++
-		since := pl.in.Seen[me.VM].FailingSince
+		since := pl.in.Observed[me.VM].FailingSince
 		if since.IsZero() {
 			continue
 		}
@@ -307,8 +307,8 @@
 	return best, best != ""
 }
 
-// betterRemainder reports whether left remaining free VMs are better than other:
-// one or more is better than none, and then fewer is better.
+// betterRemainder reports whether left remaining free VMs are better than
+// other: one or more is better than none, and then fewer is better.
 func betterRemainder(left, other int) bool {
 	if (left > 0) != (other > 0) {
 		return left > 0
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -123,7 +123,7 @@
 	if co.mustRetire(gr) {
 		return co.retire(gr, head, now)
 	}
-	if head.ep.Member.State != catalog.Ready || !head.ready() || now.Sub(gr.opening) < co.services[gr.service].Form+co.lag(head) {
+	if head.ep.Member.State != catalog.Ready || !head.ready() || now.Sub(gr.opening) < co.services[gr.service].FormTime+co.lag(head) {
 		return nil
 	}
 	// A head opens whatever its members' state, so each must have said itself
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -76,7 +76,7 @@
 	wo := &world{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), term: 10,
 		fleet: &emulator.Fleet{Models: models, InitialLoads: true}, entries: make(map[string]catalog.Endpoint)}
 	wo.cfg = &catalog.Config{Services: map[string]catalog.Service{"engine": {Name: "engine", Engine: &catalog.Engine{
-		Slots: 26, Stride: 7, Models: models, ReportLag: emulator.ReportLag, LoadsPerSecond: 4.5, LoadsAtOnce: 6, Form: emulator.FormTime}}}}
+		Slots: 26, Stride: 7, Models: models, ReportLag: emulator.ReportLag, LoadsPerSecond: 4.5, LoadsAtOnce: 6, FormTime: emulator.FormTime}}}}
 	for do := range domains {
 		for range each {
 			wo.add(fmt.Sprintf("domain-%d", do))
