--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -67,11 +67,11 @@
 func (co *Core) newPoll(vm *vm, now time.Time) Ask {
 	vm.pollAt = now.Add(downPollInterval)
 	vm.polling = true
-	as := Ask{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Limit: maxPollTimeout}
-	if as.Urgent {
-		as.Limit = co.pollRTT.Limit(minUrgentTimeout, maxPollTimeout)
+	po := Ask{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Limit: maxPollTimeout}
+	if po.Urgent {
+		po.Limit = co.pollRTT.Limit(minUrgentTimeout, maxPollTimeout)
 	}
-	return as
+	return po
 }
 
 // orderQueue holds the orders that are not sent yet and counts those in flight.
--- a/internal/core/steward/suspect_test.go
+++ b/internal/core/steward/suspect_test.go
@@ -75,8 +75,8 @@
 	si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
 	for range 2 * maxFailures {
 		for _, ca := range si.core.Step(si.now) {
-			if as, ok := ca.(Ask); ok {
-				si.core.Inconclusive(as.ID, si.now, si.now)
+			if po, ok := ca.(Ask); ok {
+				si.core.Inconclusive(po.ID, si.now, si.now)
 			}
 		}
 		si.now = si.now.Add(pollInterval)
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -203,24 +203,24 @@
 	for _, ca := range calls {
 		switch ca := ca.(type) {
 		case Ask:
-			si.ask(ca)
+			si.poll(ca)
 		case Command:
 			si.command(ca)
 		}
 	}
 }
 
-func (si *simulation) ask(as Ask) {
+func (si *simulation) poll(po Ask) {
 	sentAt := si.now
 	si.pollCount++
-	re, ok := si.fleet.Report(as.ID, si.now)
+	re, ok := si.fleet.Report(po.ID, si.now)
 	ok = ok && si.rnd.Float64() >= si.lostCalls
 	took := si.callTime()
 	if ok {
-		si.after(took, func() { si.core.Reported(as.ID, re, sentAt, si.now) })
+		si.after(took, func() { si.core.Reported(po.ID, re, sentAt, si.now) })
 	}
-	if !ok || took > as.Limit {
-		si.after(as.Limit, func() { si.core.Failed(as.ID, "silent", sentAt, si.now) })
+	if !ok || took > po.Limit {
+		si.after(po.Limit, func() { si.core.Failed(po.ID, "silent", sentAt, si.now) })
 	}
 }
 
