--- a/internal/core/steward/answers.go
+++ b/internal/core/steward/answers.go
@@ -6,9 +6,9 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// Reported handles an endpoint's report in response to a poll sent at sentAt. An order whose
+// HandleReport handles an endpoint's report in response to a poll sent at sentAt. An order whose
 // response arrived since then may have changed the endpoint's state.
-func (co *Core) Reported(id string, re catalog.Report, sentAt, now time.Time) {
+func (co *Core) HandleReport(id string, re catalog.Report, sentAt, now time.Time) {
 	vm, ok := co.vms[id]
 	if !ok {
 		return
@@ -43,7 +43,7 @@
 		return
 	}
 	if vm.down {
-		co.recordEvent(Event{What: "vm-answers", VM: id})
+		co.recordEvent(Event{Kind: "vm-answers", VM: id})
 	}
 	vm.ep = re.Apply(vm.ep)
 	vm.reported, vm.down, vm.failures, vm.urgent, vm.uncertain, vm.orderRefused = true, false, 0, false, false, false
@@ -70,8 +70,8 @@
 	return *one == *other
 }
 
-// Failed records that a poll sent at sentAt timed out or failed. The report may still arrive.
-func (co *Core) Failed(id, reason string, sentAt, now time.Time) {
+// HandlePollFailure records that a poll sent at sentAt timed out or failed. The report may still arrive.
+func (co *Core) HandlePollFailure(id, reason string, sentAt, now time.Time) {
 	vm := co.timedOutVM(id, sentAt)
 	if vm == nil {
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	if !vm.down {
-		co.recordEvent(Event{What: "vm-silent", VM: id, Reason: reason})
+		co.recordEvent(Event{Kind: "vm-silent", VM: id, Reason: reason})
 		co.unresponsiveAt[vm.ep.Domain] = now
 	}
 	vm.down, vm.urgent = true, false
@@ -130,7 +130,7 @@
 
 // removeVM drops a VM that is neither registered nor responsive.
 func (co *Core) removeVM(vm *vm, reason string) {
-	co.recordEvent(Event{What: "vm-gone", VM: vm.ep.ID, Reason: reason})
+	co.recordEvent(Event{Kind: "vm-gone", VM: vm.ep.ID, Reason: reason})
 	delete(co.vms, vm.ep.ID)
 	co.idsChanged = true
 	co.incompleteGroups[vm.restoredGroup] = true
@@ -139,17 +139,17 @@
 	}
 }
 
-// Inconclusive records that a poll timed out while this machine itself was stalled: the
+// HandleInconclusivePoll records that a poll timed out while this machine itself was stalled: the
 // response may have arrived unread. A slow machine that counted such polls as failures marked
 // up to 50 healthy VMs as down at once and dissolved their groups.
-func (co *Core) Inconclusive(id string, sentAt, now time.Time) {
+func (co *Core) HandleInconclusivePoll(id string, sentAt, now time.Time) {
 	vm := co.timedOutVM(id, sentAt)
 	if vm == nil {
 		return
 	}
 	vm.inconclusive++
 	if vm.inconclusive > maxInconclusive {
-		co.Failed(id, "no response; this machine was also delayed", sentAt, now)
+		co.HandlePollFailure(id, "no response; this machine was also delayed", sentAt, now)
 		return
 	}
 	vm.pollBy(now.Add(pollInterval))
--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -64,12 +64,12 @@
 // pollDecidesLoss reports whether the next poll helps decide if the VM is lost.
 func (vm *vm) pollDecidesLoss() bool { return !vm.down && (vm.urgent || vm.failures > 0) }
 
-func (co *Core) newPoll(vm *vm, now time.Time) Ask {
+func (co *Core) newPoll(vm *vm, now time.Time) Poll {
 	vm.pollAt = now.Add(downPollInterval)
 	vm.polling = true
-	po := Ask{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Limit: maxPollTimeout}
+	po := Poll{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Timeout: maxPollTimeout}
 	if po.Urgent {
-		po.Limit = co.pollRTT.Limit(minUrgentTimeout, maxPollTimeout)
+		po.Timeout = co.pollRTT.Limit(minUrgentTimeout, maxPollTimeout)
 	}
 	return po
 }
@@ -113,7 +113,7 @@
 	if vm == nil || cd.Incarnation.Differs(vm.ep.Incarnation) {
 		return false
 	}
-	if jo, ok := cd.Order.(catalog.Join); vm.down || ok && cd.initialLoads && !co.Initial && !vm.hasWeights(jo.Model) {
+	if jo, ok := cd.Order.(catalog.Join); vm.down || ok && cd.initialLoads && !co.InitialLoads && !vm.hasWeights(jo.Model) {
 		vm.orderPending = false
 		return false
 	}
--- a/internal/core/steward/flight_test.go
+++ b/internal/core/steward/flight_test.go
@@ -65,7 +65,7 @@
 	if len(sent) != 1 || sent[0].(Command).ID != "c" {
 		t.Fatalf("sent first: %v, want the order to open the group", sent)
 	}
-	co.Done(sent[0].(Command), Accepted, time.Unix(1000, 0))
+	co.HandleOutcome(sent[0].(Command), Accepted, time.Unix(1000, 0))
 	if sent = co.dispatch(nil); len(sent) != 1 || sent[0].(Command).ID != "b" {
 		t.Errorf("sent next: %v, want the order to join the serving group", sent)
 	}
--- a/internal/core/steward/form.go
+++ b/internal/core/steward/form.go
@@ -165,7 +165,7 @@
 			loads++
 		}
 	}
-	if !co.Initial && !co.loads.take(loads) {
+	if !co.InitialLoads && !co.loads.take(loads) {
 		return nil
 	}
 	for _, vm := range do.free[:mo.Size] {
@@ -173,7 +173,7 @@
 	}
 	do.free = do.free[mo.Size:]
 	gr := co.plan(groupPrefix, service, mo.Name, members, now)
-	co.recordEvent(Event{What: "group-formed", Group: gr.name, Model: mo.Name, Members: members})
+	co.recordEvent(Event{Kind: "group-formed", Group: gr.name, Model: mo.Name, Members: members})
 	return co.sendJoins(gr)
 }
 
@@ -181,7 +181,7 @@
 func (co *Core) plan(prefix, service, model string, members []string, now time.Time) *group {
 	epoch := co.epoch()
 	gr := &group{name: fmt.Sprintf("%s%d-%d", prefix, co.Term, co.epochCounter), epoch: epoch, service: service,
-		model: model, members: members, planned: now, initialLoads: co.Initial}
+		model: model, members: members, planned: now, initialLoads: co.InitialLoads}
 	co.groups[groupKey{gr.name, epoch}] = gr
 	return gr
 }
--- a/internal/core/steward/hold_test.go
+++ b/internal/core/steward/hold_test.go
@@ -276,7 +276,7 @@
 	si.fleet.Change(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
 	delete(si.entries, lost.ID)
 	si.takeOver()
-	si.core.Recall(gr, lost, si.now)
+	si.core.RestoreMember(gr, lost, si.now)
 	si.run(registrationTimeout - time.Second)
 	if !si.headRegrouped(gr) {
 		t.Error("the head of the broken group serves in no other group")
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -35,7 +35,7 @@
 // again.
 func (co *Core) startDissolving(gr *group, why string) {
 	gr.dissolving = true
-	co.recordEvent(Event{What: "group-broken", Group: gr.name, Model: gr.model, Members: gr.members, Reason: why})
+	co.recordEvent(Event{Kind: "group-broken", Group: gr.name, Model: gr.model, Members: gr.members, Reason: why})
 }
 
 // broken returns why the group can no longer serve, or "" if it can.
@@ -107,7 +107,7 @@
 // mayLoad reports whether the VM may be ordered to join the group now. Loads that were planned
 // without a rate limit are rate-limited once the limit applies.
 func (co *Core) mayLoad(vm *vm, gr *group) bool {
-	return co.Initial || !gr.initialLoads || vm.hasWeights(gr.model) || co.loads.take(1)
+	return co.InitialLoads || !gr.initialLoads || vm.hasWeights(gr.model) || co.loads.take(1)
 }
 
 func isSpare(name string) bool { return (&group{name: name}).spare() }
@@ -116,7 +116,7 @@
 // order by then.
 func (co *Core) command(vm *vm, order catalog.Order) Command {
 	vm.orderPending = true
-	return Command{ID: vm.ep.ID, Address: vm.ep.Address, Incarnation: vm.ep.Incarnation, Order: order, IfOrders: vm.ep.Orders, initialLoads: co.Initial}
+	return Command{ID: vm.ep.ID, Address: vm.ep.Address, Incarnation: vm.ep.Incarnation, Order: order, IfOrders: vm.ep.Orders, initialLoads: co.InitialLoads}
 }
 
 // stepComplete opens a group whose members are all ready, and drains one that is about to lose
@@ -160,7 +160,7 @@
 	if gr.drainingSince.IsZero() {
 		gr.drainingSince = now
 		head.pollAt = now.Add(drainPollInterval)
-		co.recordEvent(Event{What: "group-retires", Group: gr.name, Model: gr.model, Members: gr.members})
+		co.recordEvent(Event{Kind: "group-retires", Group: gr.name, Model: gr.model, Members: gr.members})
 		return nil
 	}
 	idle := head.running == 0 && head.pollAt.IsZero() && now.Sub(gr.drainingSince) > drainPollInterval
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -33,7 +33,7 @@
 	si.cpuPerCall = callCPUTime
 	for range 15 {
 		for _, gr := range before {
-			si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+			si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 		}
 		si.run(stallReportInterval)
 		si.checkStillServing(before)
@@ -86,9 +86,9 @@
 			si.maxDelay = maxPollTimeout
 			for range 40 {
 				gr := before[si.rnd.IntN(len(before))]
-				si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+				si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 				si.run(time.Duration(50+si.rnd.IntN(150)) * time.Millisecond)
-				si.core.Advances(gr.Name, gr.Epoch, si.now)
+				si.core.HandleProgressReport(gr.Name, gr.Epoch, si.now)
 				if si.rnd.IntN(20) == 0 {
 					si.takeOver()
 					si.step()
@@ -106,8 +106,8 @@
 	for _, gr := range want {
 		if !hasGroup(have, gr) {
 			for _, ev := range si.core.Events() {
-				if ev.Group == gr.Name || ev.What == "vm-silent" {
-					si.t.Log(ev.What, ev.Group, ev.VM, ev.Reason)
+				if ev.Group == gr.Name || ev.Kind == "vm-silent" {
+					si.t.Log(ev.Kind, ev.Group, ev.VM, ev.Reason)
 				}
 			}
 			si.t.Fatalf("%s of %s no longer serves although no VM was lost; serving %d of %d groups", gr.Name, gr.Model, len(have), len(want))
@@ -147,8 +147,8 @@
 	si.step()
 	latest := old
 	latest.Member, latest.Orders = nil, old.Orders+1
-	si.core.Reported(id, latest, si.now, si.now)
-	si.core.Reported(id, old, early, si.now)
+	si.core.HandleReport(id, latest, si.now, si.now)
+	si.core.HandleReport(id, old, early, si.now)
 	if vm := si.core.vms[id]; vm.ep.Member != nil || vm.ep.Orders != latest.Orders {
 		t.Errorf("the VM is recorded with membership %v after %d orders, want the state of the later report", vm.ep.Member, vm.ep.Orders)
 	}
--- a/internal/core/steward/outcomes.go
+++ b/internal/core/steward/outcomes.go
@@ -7,8 +7,8 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// Done records the outcome of a command.
-func (co *Core) Done(cd Command, out Outcome, now time.Time) {
+// HandleOutcome records the outcome of a command.
+func (co *Core) HandleOutcome(cd Command, out Outcome, now time.Time) {
 	co.orders.inFlight = max(0, co.orders.inFlight-1)
 	vm, ok := co.vms[cd.ID]
 	if !ok || cd.Incarnation.Differs(vm.ep.Incarnation) {
@@ -72,7 +72,7 @@
 		return pollInterval
 	case vm.ep.HasStaged(model):
 		return mo.Warm
-	case co.Initial:
+	case co.InitialLoads:
 		return mo.Load / initialSpeedup
 	}
 	return mo.Load
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -55,7 +55,7 @@
 	}
 	for _, gr := range ex.released {
 		gr.reassigned = true
-		co.recordEvent(Event{What: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
+		co.recordEvent(Event{Kind: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
 		for _, id := range gr.members {
 			co.vms[id].targetModel = ex.to.Name
 		}
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -41,7 +41,7 @@
 		si.core.SetDemand(demand, si.now)
 		si.step()
 		for _, ev := range si.core.Events() {
-			if ev.What == "group-rebalanced" {
+			if ev.Kind == "group-rebalanced" {
 				num++
 			}
 		}
--- a/internal/core/steward/restart.go
+++ b/internal/core/steward/restart.go
@@ -25,7 +25,7 @@
 // stall. Orders to the earlier incarnation don't count for this one, and the VM is used only
 // after it has reported.
 func (co *Core) handleRestart(one *vm, ep catalog.Endpoint, now time.Time) {
-	co.recordEvent(Event{What: "vm-restarted", VM: ep.ID})
+	co.recordEvent(Event{Kind: "vm-restarted", VM: ep.ID})
 	for _, ke := range co.keys() {
 		if gr := co.groups[ke]; !gr.dissolving && slices.Contains(gr.members, ep.ID) {
 			co.startDissolving(gr, "member "+ep.ID+" restarted")
--- a/internal/core/steward/restart_test.go
+++ b/internal/core/steward/restart_test.go
@@ -55,7 +55,7 @@
 			si.restart(id)
 			si.register()
 			si.takeOver()
-			si.core.Recall(gr.Group, lost, si.now)
+			si.core.RestoreMember(gr.Group, lost, si.now)
 		}},
 	}
 	for _, tc := range tests {
@@ -86,7 +86,7 @@
 	old, _ := si.fleet.Report(id, si.now)
 	si.restart(id)
 	si.step()
-	si.core.Reported(id, old, sentAt, si.now)
+	si.core.HandleReport(id, old, sentAt, si.now)
 	if vm := si.core.vms[id]; vm.ep.Member != nil || vm.ep.Incarnation == old.Incarnation {
 		t.Errorf("the VM is recorded with membership %v in incarnation %d, want none in the new incarnation", vm.ep.Member, vm.ep.Incarnation)
 	}
@@ -101,7 +101,7 @@
 	cd := si.core.command(vm, catalog.Stage{Model: "small"})
 	si.restart(cd.ID)
 	si.register()
-	si.core.Done(cd, Accepted, si.now)
+	si.core.HandleOutcome(cd, Accepted, si.now)
 	if vm.ep.Orders != 0 {
 		t.Errorf("the new incarnation counts %d orders, want 0", vm.ep.Orders)
 	}
@@ -118,7 +118,7 @@
 	vm.ep.Incarnation = 0
 	cd := si.core.command(vm, catalog.Stage{Model: "small"})
 	si.core.Register(entry, si.now)
-	si.core.Done(cd, Refused, si.now)
+	si.core.HandleOutcome(cd, Refused, si.now)
 	if vm.orderPending {
 		t.Error("the VM still waits for a response that has arrived")
 	}
@@ -139,9 +139,9 @@
 	si.runInitialLoads(5 * time.Second)
 	vm := si.core.vms[si.core.Groups()[0].Members[1].ID]
 	cd := si.core.command(vm, catalog.Leave{Group: "none", Epoch: 1})
-	si.core.Done(cd, Refused, si.now)
+	si.core.HandleOutcome(cd, Refused, si.now)
 	re, _ := si.fleet.Report(cd.ID, si.now)
-	si.core.Reported(cd.ID, re, si.now, si.now)
+	si.core.HandleReport(cd.ID, re, si.now, si.now)
 	if vm.orderable() {
 		t.Error("the VM may be sent orders based on its state from before the refusal")
 	}
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -58,18 +58,18 @@
 	discoveryTimeout = 700 * time.Millisecond
 )
 
-// Call is a request to an endpoint: an Ask or a Command.
+// Call is a request to an endpoint: a Poll or a Command.
 type Call interface{ isCall() }
 
-// Ask polls an endpoint for its report.
-type Ask struct {
+// Poll is a request for an endpoint's report.
+type Poll struct {
 	ID, Address string
 	// Urgent polls get a short timeout: they decide whether a member of a serving group is
 	// down.
 	Urgent bool
-	// Limit is the timeout, counted from when the poll is sent. After it the poll counts as
+	// Timeout counts from when the poll is sent. After it the poll counts as
 	// failed, but a report that arrives later is still processed.
-	Limit time.Duration
+	Timeout time.Duration
 }
 
 // Command is an order for an endpoint. The endpoint must refuse it unless it has accepted
@@ -84,7 +84,7 @@
 	initialLoads bool
 }
 
-func (Ask) isCall()     {}
+func (Poll) isCall()    {}
 func (Command) isCall() {}
 
 // Outcome is the result of a command.
@@ -207,12 +207,12 @@
 type Core struct {
 	// Term is the steward's term. Epochs and group names are derived from it.
 	Term int64
-	// Initial is set until callers have sent the first requests. Until then loads are not
+	// InitialLoads is set until callers have sent the first requests. Until then loads are not
 	// rate-limited.
-	Initial  bool
-	services map[string]*catalog.Engine
-	vms      map[string]*vm
-	groups   map[groupKey]*group
+	InitialLoads bool
+	services     map[string]*catalog.Engine
+	vms          map[string]*vm
+	groups       map[groupKey]*group
 	// sortedIDs caches the VM IDs in order; idsChanged is set when it may be out of date.
 	sortedIDs  []string
 	idsChanged bool
@@ -240,16 +240,16 @@
 
 // Event is a change to report to operators in the log.
 type Event struct {
-	// What is the kind of event, such as "group-formed". The other fields are set as far as
+	// Kind is the type of event, such as "group-formed". The other fields are set as far as
 	// they apply to it.
-	What, Group, Model, VM, Reason string
+	Kind, Group, Model, VM, Reason string
 	Epoch                          int64
 	Members                        []string
 }
 
-// GroupSound is the kind of an event for a group that was reported as stalled and whose
+// GroupHealthy is the kind of an event for a group that was reported as stalled and whose
 // members have all answered since.
-const GroupSound = "group-sound"
+const GroupHealthy = "group-sound"
 
 // New returns the state of a steward that takes over with the given term.
 func New(term int64, now time.Time) *Core {
--- a/internal/core/steward/suspect_test.go
+++ b/internal/core/steward/suspect_test.go
@@ -11,7 +11,7 @@
 func countPolls(calls []Call) int {
 	num := 0
 	for _, ca := range calls {
-		if _, ok := ca.(Ask); ok {
+		if _, ok := ca.(Poll); ok {
 			num++
 		}
 	}
@@ -27,7 +27,7 @@
 	gr := si.core.Groups()[0]
 	polls := 0
 	for daemon := range 68 {
-		si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+		si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 		if daemon%10 == 0 {
 			calls := si.core.Step(si.now)
 			polls += countPolls(calls)
@@ -52,11 +52,11 @@
 			si.kill(gr.Members[1].ID)
 		}
 		si.core.Events()
-		si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+		si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 		si.run(400 * time.Millisecond)
 		events := 0
 		for _, ev := range si.core.Events() {
-			if ev.What == GroupSound && ev.Group == gr.Name && ev.Epoch == gr.Epoch {
+			if ev.Kind == GroupHealthy && ev.Group == gr.Name && ev.Epoch == gr.Epoch {
 				events++
 			}
 		}
@@ -72,11 +72,11 @@
 	si := newSimulation(t, 7, 1, 9)
 	si.runInitialLoads(5 * time.Second)
 	gr := si.core.Groups()[0]
-	si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+	si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 	for range 2 * maxFailures {
 		for _, ca := range si.core.Step(si.now) {
-			if po, ok := ca.(Ask); ok {
-				si.core.Inconclusive(po.ID, si.now, si.now)
+			if po, ok := ca.(Poll); ok {
+				si.core.HandleInconclusivePoll(po.ID, si.now, si.now)
 			}
 		}
 		si.now = si.now.Add(pollInterval)
--- a/internal/core/steward/suspicion.go
+++ b/internal/core/steward/suspicion.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Suspect handles a daemon's report that a group's streams are stalled, and polls all members
+// HandleStallReport handles a daemon's report that a group's streams are stalled, and polls all members
 // of the group at once. The flag own marks a report by the steward's own daemon. Many daemons
 // detect the same stall at the same time; their reports within stallReportInterval share one
 // round of polls.
-func (co *Core) Suspect(name string, epoch int64, own bool, now time.Time) {
+func (co *Core) HandleStallReport(name string, epoch int64, own bool, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil {
 		return
@@ -51,14 +51,14 @@
 		late := func(id string) bool { return co.vms[id].lastAnsweredPoll.Before(gr.stallReportedAt) }
 		if !slices.ContainsFunc(gr.members, late) {
 			gr.confirmedHealthy = true
-			co.recordEvent(Event{What: GroupSound, Group: gr.name, Epoch: gr.epoch, Model: gr.model})
+			co.recordEvent(Event{Kind: GroupHealthy, Group: gr.name, Epoch: gr.epoch, Model: gr.model})
 		}
 	}
 }
 
-// Advances handles a daemon's report that the streams of a group it had reported as stalled
+// HandleProgressReport handles a daemon's report that the streams of a group it had reported as stalled
 // make progress again. A replica stalls if any of its members does, so all of them are alive.
-func (co *Core) Advances(name string, epoch int64, now time.Time) {
+func (co *Core) HandleProgressReport(name string, epoch int64, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil || gr.dissolving {
 		return
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -106,7 +106,7 @@
 func (si *simulation) takeOver() {
 	si.term += 7
 	si.core = New(si.term, si.now)
-	si.core.Initial = si.fleet.InitialLoads
+	si.core.InitialLoads = si.fleet.InitialLoads
 	si.core.SetServices(si.cfg)
 	for _, ep := range si.entries {
 		si.core.Register(ep, si.now)
@@ -194,7 +194,7 @@
 	}
 	for _, gr := range si.core.Groups() {
 		if !serving[gr.Head().ID] {
-			si.core.Suspect(gr.Name, gr.Epoch, false, si.now)
+			si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 func (si *simulation) execute(calls []Call) {
 	for _, ca := range calls {
 		switch ca := ca.(type) {
-		case Ask:
+		case Poll:
 			si.poll(ca)
 		case Command:
 			si.command(ca)
@@ -210,17 +210,17 @@
 	}
 }
 
-func (si *simulation) poll(po Ask) {
+func (si *simulation) poll(po Poll) {
 	sentAt := si.now
 	si.pollCount++
 	re, ok := si.fleet.Report(po.ID, si.now)
 	ok = ok && si.rnd.Float64() >= si.lostCalls
 	took := si.callTime()
 	if ok {
-		si.after(took, func() { si.core.Reported(po.ID, re, sentAt, si.now) })
+		si.after(took, func() { si.core.HandleReport(po.ID, re, sentAt, si.now) })
 	}
-	if !ok || took > po.Limit {
-		si.after(po.Limit, func() { si.core.Failed(po.ID, "silent", sentAt, si.now) })
+	if !ok || took > po.Timeout {
+		si.after(po.Timeout, func() { si.core.HandlePollFailure(po.ID, "silent", sentAt, si.now) })
 	}
 }
 
@@ -242,19 +242,19 @@
 	if si.rnd.Float64() < si.lateOrders {
 		late := 2*time.Second + time.Duration(si.rnd.Int64N(int64(10*time.Second)))
 		si.queue = append(si.queue, timer{si.now.Add(late), func() { si.fleet.Order(cd.ID, cd.Order, cd.IfOrders, si.now) }})
-		si.after(orderLimit, func() { si.core.Done(cd, Unanswered, si.now) })
+		si.after(orderLimit, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
 		return
 	}
 	status := si.fleet.Order(cd.ID, cd.Order, cd.IfOrders, si.now)
 	if status == 0 || si.rnd.Float64() < si.lostAnswers {
-		si.after(orderLimit, func() { si.core.Done(cd, Unanswered, si.now) })
+		si.after(orderLimit, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
 		return
 	}
 	out := Refused
 	if status == http.StatusOK || status == http.StatusAccepted {
 		out = Accepted
 	}
-	si.after(si.callTime(), func() { si.core.Done(cd, out, si.now) })
+	si.after(si.callTime(), func() { si.core.HandleOutcome(cd, out, si.now) })
 }
 
 // serving returns the number of groups of each model that serve.
@@ -268,5 +268,5 @@
 func (si *simulation) runInitialLoads(dur time.Duration) {
 	si.run(dur)
 	si.fleet.InitialLoads = false
-	si.core.Initial = false
+	si.core.InitialLoads = false
 }
