--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -34,7 +34,7 @@
 	rest       = 3 * time.Second
 )
 
-var limitedLife = catalog.Life{ID: "head-1", Incarnation: 7}
+var limitedLife = catalog.Instance{ID: "head-1", Incarnation: 7}
 
 // sim plays daemons that would send an endpoint more than its limit.
 type sim struct {
@@ -322,7 +322,7 @@
 	begin := time.Unix(100, 0)
 	after := func(span time.Duration) time.Time { return begin.Add(span) }
 	limit, none := Limit{2, true}, Limit{}
-	next := catalog.Life{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
+	next := catalog.Instance{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
 	tests := []struct {
 		name  string
 		play  func(re *Register)
@@ -416,32 +416,32 @@
 // a daemon forgets while the process still stops.
 func TestLeavingIsOneLife(t *testing.T) {
 	now := time.Unix(100, 0)
-	unknown := catalog.Life{ID: limitedLife.ID}
-	next := catalog.Life{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
+	unknown := catalog.Instance{ID: limitedLife.ID}
+	next := catalog.Instance{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
 	tests := []struct {
 		name string
 		play func(re *Register)
-		want map[catalog.Life]bool
+		want map[catalog.Instance]bool
 	}{
-		{"said in an answer", func(re *Register) { re.SetLeaving(limitedLife, now) }, map[catalog.Life]bool{limitedLife: true, next: false}},
+		{"said in an answer", func(re *Register) { re.SetLeaving(limitedLife, now) }, map[catalog.Instance]bool{limitedLife: true, next: false}},
 		{"said by a life whose start is learnt later", func(re *Register) {
 			re.SetLeaving(unknown, now)
 			re.Takes(limitedLife, now)
-		}, map[catalog.Life]bool{limitedLife: true, next: false}},
+		}, map[catalog.Instance]bool{limitedLife: true, next: false}},
 		{"told by another daemon", func(re *Register) {
 			if num := len(re.Hear([]Word{{Life: limitedLife, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
 				t.Errorf("%d endpoints new", num)
 			}
-		}, map[catalog.Life]bool{limitedLife: true, next: false}},
+		}, map[catalog.Instance]bool{limitedLife: true, next: false}},
 		{"answers that don't repeat it", func(re *Register) {
 			re.SetLeaving(limitedLife, now)
 			re.SetLimit(limitedLife, Limit{}, now.Add(time.Second), now.Add(time.Second))
 			re.Sweep(now.Add(time.Minute))
-		}, map[catalog.Life]bool{limitedLife: true}},
+		}, map[catalog.Instance]bool{limitedLife: true}},
 		{"long ago", func(re *Register) {
 			re.SetLeaving(limitedLife, now)
 			re.Sweep(now.Add(forgetAfter + time.Second))
-		}, map[catalog.Life]bool{limitedLife: false}},
+		}, map[catalog.Instance]bool{limitedLife: false}},
 	}
 	for _, tc := range tests {
 		re := &Register{}
--- a/internal/core/backpressure/word.go
+++ b/internal/core/backpressure/word.go
@@ -16,7 +16,7 @@
 
 // Word is what an endpoint said, as daemons tell each other.
 type Word struct {
-	Life  catalog.Life `json:"life" cbor:"1,keyasint"`
+	Life  catalog.Instance `json:"life" cbor:"1,keyasint"`
 	Limit Limit        `json:"limit" cbor:"2,keyasint"`
 	// LimitAge is how long ago the endpoint held to the limit, or to none, for certain; 0 if it
 	// never named one. Ages are told and not times: the clocks of machines differ.
@@ -59,14 +59,14 @@
 			ep.due, ep.until, ep.told = false, now.Add(span), ep.limitAt
 		}
 		if now.Before(ep.until) {
-			words = append(words, ep.word(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+			words = append(words, ep.word(catalog.Instance{ID: id, Incarnation: ep.incarnation}, now))
 		}
 	}
 	return words
 }
 
 // word is what there is to tell of the endpoint.
-func (ep *endpoint) word(li catalog.Life, now time.Time) Word {
+func (ep *endpoint) word(li catalog.Instance, now time.Time) Word {
 	wo := Word{Life: li, Limit: ep.limit, Leaving: ep.leaving}
 	if !ep.limitAt.IsZero() {
 		wo.LimitAge = max(1, now.Sub(ep.limitAt))
@@ -87,7 +87,7 @@
 	defer re.mu.Unlock()
 	var words []Word
 	for id, ep := range re.endpoints {
-		words = append(words, ep.word(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+		words = append(words, ep.word(catalog.Instance{ID: id, Incarnation: ep.incarnation}, now))
 	}
 	return words
 }
@@ -107,7 +107,7 @@
 
 // Hear takes in what another daemon told, and returns the endpoints of which it is new that they
 // leave.
-func (re *Register) Hear(words []Word, now time.Time) (leaving []catalog.Life) {
+func (re *Register) Hear(words []Word, now time.Time) (leaving []catalog.Instance) {
 	for _, wo := range words {
 		if wo.Leaving && re.hearLeaving(wo, now) {
 			leaving = append(leaving, wo.Life)
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -126,7 +126,7 @@
 	if co.mustDrain(gr) {
 		return co.drain(gr, head, now)
 	}
-	if head.ep.Member.State != catalog.Ready || !head.orderable() || now.Sub(gr.openOrderedAt) < co.services[gr.service].Form+co.lag(head) {
+	if head.ep.Member.State != catalog.Ready || !head.orderable() || now.Sub(gr.openOrderedAt) < co.services[gr.service].FormTime+co.lag(head) {
 		return nil
 	}
 	// A head opens whatever state its members are in, so each member must have reported that
--- a/internal/core/steward/outcomes.go
+++ b/internal/core/steward/outcomes.go
@@ -48,7 +48,7 @@
 		}
 		wait := pollInterval
 		if en := co.services[vm.ep.Service]; en != nil {
-			wait = en.Form
+			wait = en.FormTime
 		}
 		vm.pollBy(now.Add(wait + co.lag(vm)))
 	case catalog.CloseGroup:
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -214,7 +214,7 @@
 	for _, vm := range co.vmsOf(ex) {
 		longest = max(longest, co.joinTime(vm, ex.to.Name))
 	}
-	return longest + en.Form + typicalDrainTime
+	return longest + en.FormTime + typicalDrainTime
 }
 
 // typicalDrainTime is how long a group usually takes to finish its requests.
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -18,7 +18,7 @@
 	si := newSimulationWith(t, seed, 3, 27, models)
 	en := si.cfg.Services["engine"].Engine
 	en.Slots, en.Stride, en.Step, en.StepPerRequest = 48, 5, 6450*time.Microsecond, 97*time.Microsecond
-	en.ReadPerSecond, en.LoadsAtOnce, en.LoadsPerSecond = 56100, 20, 14
+	en.PrefillPerSecond, en.LoadsAtOnce, en.LoadsPerSecond = 56100, 20, 14
 	si.runInitialLoads(5 * time.Second)
 	return si
 }
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -83,7 +83,7 @@
 	si := &simulation{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), term: 10,
 		fleet: &emulator.Fleet{Models: models, InitialLoads: true}, entries: make(map[string]catalog.Endpoint)}
 	si.cfg = &catalog.Config{Services: map[string]catalog.Service{"engine": {Name: "engine", Engine: &catalog.Engine{
-		Slots: 26, Stride: 7, Models: models, ReportLag: emulator.ReportLag, LoadsPerSecond: 4.5, LoadsAtOnce: 6, Form: emulator.FormTime}}}}
+		Slots: 26, Stride: 7, Models: models, ReportLag: emulator.ReportLag, LoadsPerSecond: 4.5, LoadsAtOnce: 6, FormTime: emulator.FormTime}}}}
 	for do := range domains {
 		for range each {
 			si.add(fmt.Sprintf("domain-%d", do))
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -230,7 +230,7 @@
 		return 0, nil, err
 	}
 	defer ex.Close()
-	da.front.HeardInCall(catalog.Life{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
+	da.front.HeardInCall(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
 	body, err := ex.ReadAll(maxReport)
 	if err != nil {
 		return 0, nil, err
