--- a/internal/core/backpressure/limit.go
+++ b/internal/core/backpressure/limit.go
@@ -7,126 +7,134 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// An endpoint's limit holds for all daemons together. A token bucket at each of 195 daemons
-// would add up to 195 requests at once, so only some daemons send to the endpoint: the first
-// ones by rendezvous hashing, each at an equal part of the limit. They need to ask nobody, and
-// views of the daemons that differ by some move the part of a few only.
+// The limit of an endpoint applies to all daemons together. With a token bucket in each of 195
+// daemons, the endpoint could receive 195 requests at once. Therefore only the first few daemons
+// by rendezvous hashing send to it, each at an equal share of the limit. This needs no
+// coordination, and if the daemons' membership views differ slightly, only a few shares change.
 
 const (
-	// minHolders is the number of daemons that share the smallest limit. The endpoint is used
-	// although one of them is gone or gets no requests.
-	minHolders = 2
-	// minPerSecond is the rate at which an endpoint with a smaller limit is asked: only its
-	// answers tell that the limit has changed.
+	// minSenders is the number of daemons that share a limit in addition to one per request a
+	// second, so that the endpoint is still used if one of them has failed or receives no
+	// requests.
+	minSenders = 2
+	// minPerSecond is the lowest rate of requests a second sent to a limited endpoint, even if
+	// its limit is smaller: only its responses show that the limit has changed.
 	minPerSecond = 0.25
-	// quietSpan is the time without an answer after which one daemon more may send: those
-	// whose part it is may get no requests.
-	quietSpan = 10 * time.Second
-	// burst is the number of requests that a daemon may send at once.
+	// extraSenderInterval is the time without a confirmed limit after which one more daemon may
+	// send, and another one after each further interval: the regular senders may have no
+	// requests for the endpoint.
+	extraSenderInterval = 10 * time.Second
+	// burst is the capacity of a daemon's token bucket, in requests.
 	burst = 1
-	// never is the rank of a daemon that doesn't take requests.
-	never = math.MaxInt
+	// unranked is the rank of a daemon that does not accept requests and so never sends any.
+	unranked = math.MaxInt
 )
 
-// Limit is the number of requests a second that an endpoint takes from all daemons together.
+// Limit is the request rate that an endpoint accepts from all daemons together.
 type Limit struct {
+	// PerSecond is the rate in requests a second.
 	PerSecond float64 `json:"per-second,omitempty" cbor:"1,keyasint,omitempty"`
-	// Named is false if the endpoint names no limit.
+	// Named is false if the endpoint has announced no limit.
 	Named bool `json:"named,omitempty" cbor:"2,keyasint,omitempty"`
 }
 
-// perSecond is the rate at which the endpoint is sent requests.
+// perSecond returns the rate at which all daemons together may send, in requests a second.
 func (li Limit) perSecond() float64 { return max(li.PerSecond, minPerSecond) }
 
-// holders is the number of daemons that share the limit.
-func (li Limit) holders(daemons int) int {
-	return int(min(float64(daemons), minHolders+math.Ceil(li.perSecond())))
+// senders returns how many of the given number of daemons share the limit.
+func (li Limit) senders(daemons int) int {
+	return int(min(float64(daemons), minSenders+math.Ceil(li.perSecond())))
 }
 
-// limited is an endpoint's limit and what this daemon has left of its part.
-type limited struct {
+// limitState is the limit of an endpoint and the token bucket for this daemon's share of it.
+type limitState struct {
 	limit Limit
-	// limitAt is when the endpoint held to the limit for certain: when an answer that names it
-	// came, or when the request was sent whose answer names none.
-	limitAt time.Time
-	// rank is this daemon's place among those that may send; 0 is the first.
+	// limitAsOf is the latest time at which the limit is known to have been in force: when a
+	// response that announced it arrived, or when a request was sent whose response announced
+	// none.
+	limitAsOf time.Time
+	// rank is the position of this daemon in the endpoint's order of senders; 0 is the first.
 	rank int
-	// tokens are the requests that it may send, as of refilled.
-	tokens   float64
-	refilled time.Time
+	// tokens is the number of requests that this daemon may send, as of refilledAt. It is negative
+	// after requests in excess of the share.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// empty takes what is left of the daemon's part.
-func (li *limited) empty(now time.Time) { li.tokens, li.refilled = 0, now }
+// clearTokens empties the token bucket.
+func (li *limitState) clearTokens(now time.Time) { li.tokens, li.refilledAt = 0, now }
 
-// rate is the daemon's part of the limit, in requests a second.
-func (li *limited) rate(daemons int) float64 {
-	return li.limit.perSecond() / float64(li.limit.holders(daemons))
+// rate returns this daemon's share of the limit, in requests a second.
+func (li *limitState) rate(daemons int) float64 {
+	return li.limit.perSecond() / float64(li.limit.senders(daemons))
 }
 
-// refill adds what has come since.
-func (li *limited) refill(now time.Time, daemons int) {
-	li.tokens = min(burst, li.tokens+li.rate(daemons)*now.Sub(li.refilled).Seconds())
-	li.refilled = now
+// refill adds the tokens that have accrued since the last refill.
+func (li *limitState) refill(now time.Time, daemons int) {
+	li.tokens = min(burst, li.tokens+li.rate(daemons)*now.Sub(li.refilledAt).Seconds())
+	li.refilledAt = now
 }
 
-// holds tells whether this daemon may send to the endpoint at all.
-func (li *limited) holds(now time.Time, daemons int) bool {
-	quiet := max(0, int(now.Sub(li.limitAt)/quietSpan))
-	return li.rank < li.limit.holders(daemons)+quiet
+// maySend reports whether this daemon is among the senders, regardless of its tokens.
+func (li *limitState) maySend(now time.Time, daemons int) bool {
+	extra := max(0, int(now.Sub(li.limitAsOf)/extraSenderInterval))
+	return li.rank < li.limit.senders(daemons)+extra
 }
 
-// opens returns after what time the daemon may send; false if another daemon may, not it.
-func (li *limited) opens(now time.Time, daemons int) (time.Duration, bool) {
+// waitTime returns how long this daemon must wait for a token. The second value is false if it
+// is not among the senders.
+func (li *limitState) waitTime(now time.Time, daemons int) (time.Duration, bool) {
 	if !li.limit.Named {
 		return 0, true
 	}
-	if !li.holds(now, daemons) {
+	if !li.maySend(now, daemons) {
 		return 0, false
 	}
 	li.refill(now, daemons)
-	lacks := max(0, burst-li.tokens)
-	return time.Duration(math.Ceil(lacks / li.rate(daemons) * float64(time.Second))), true
+	missing := max(0, burst-li.tokens)
+	return time.Duration(math.Ceil(missing / li.rate(daemons) * float64(time.Second))), true
 }
 
-func (li *limited) spend(now time.Time, daemons int) {
+// spendToken takes a token for a request, if the endpoint has a limit.
+func (li *limitState) spendToken(now time.Time, daemons int) {
 	if li.limit.Named {
 		li.refill(now, daemons)
 		li.tokens--
 	}
 }
 
-// daemons are those that share limits.
+// daemons describes the daemons that share limits.
 type daemons struct {
-	// own is the address of this one.
+	// own is the address of this daemon; empty if it runs alone.
 	own string
-	// taking are those that take requests.
-	taking []string
-	// known is the number of all that were heard of, also of those that are silent now.
+	// accepting lists the addresses of the daemons that accept requests.
+	accepting []string
+	// known is the number of all daemons seen so far, including unresponsive ones.
 	known int
 }
 
-// num is the number of daemons among which a limit is divided. Silent ones count: they may
-// be sending still.
+// num returns the number of daemons that a limit is divided among. Unresponsive daemons count,
+// as they may still be sending.
 func (da *daemons) num() int { return max(1, da.known) }
 
-// rank returns this daemon's place among those that may send to an endpoint.
+// rank returns the position of this daemon in the endpoint's order of senders, or unranked if it
+// accepts no requests.
 func (da *daemons) rank(endpoint string) int {
 	if da.own == "" {
 		return 0
 	}
-	own, rank, taking := weight(da.own, endpoint), 0, false
-	for _, ip := range da.taking {
-		taking = taking || ip == da.own
+	own, rank, accepting := weight(da.own, endpoint), 0, false
+	for _, ip := range da.accepting {
+		accepting = accepting || ip == da.own
 		if weight(ip, endpoint) > own {
 			rank++
 		}
 	}
-	if !taking {
-		return never
+	if !accepting {
+		return unranked
 	}
 	return rank
 }
 
-// weight orders the daemons for an endpoint, as in rendezvous hashing.
+// weight returns the rendezvous hash of a daemon for an endpoint. Higher weights rank first.
 func weight(daemon, endpoint string) uint64 { return xxhash.Sum64String(daemon + "\x00" + endpoint) }
--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -13,72 +13,81 @@
 const (
 	// tick is the step of the simulated clock.
 	tick = 10 * time.Millisecond
-	// window is the span in which requests are counted; in it an endpoint may get ratio times
-	// its limit and slack requests.
+	// window is the span over which requests are counted. In any window an endpoint may receive
+	// ratio times its limit plus slack requests.
 	window = 4 * time.Second
 	ratio  = 1.5
 	slack  = 5
-	// learnt is how long daemons have to learn of a limit.
-	learnt = 3 * time.Second
-	// beatEvery is the time between two beats of a daemon.
-	beatEvery = 50 * time.Millisecond
-	// told is the time that words and beats take to all daemons.
-	told = 300 * time.Millisecond
-	// toldBefore is how long before a request its daemon must have had an answer that names the
-	// limit for the request to count: others can't know of it.
-	toldBefore = 500 * time.Millisecond
-	// answerTime is the time from a request to the head of its answer.
-	answerTime = 100 * time.Millisecond
-	// refuseTime is the time until a refusal, rest what the endpoint asks for then.
-	refuseTime = 10 * time.Millisecond
-	rest       = 3 * time.Second
+	// settleTime is the time at the start of a run after which the limit is enforced.
+	settleTime = 3 * time.Second
+	// heartbeatInterval is the time between two heartbeats of a daemon.
+	heartbeatInterval = 50 * time.Millisecond
+	// noticeDelay is the time from sending a notice to its arrival at the other daemons.
+	noticeDelay = 300 * time.Millisecond
+	// awareAfter is how long after its first response that announces the limit the requests of a
+	// daemon count. Before that, the daemon cannot know of the limit.
+	awareAfter = 500 * time.Millisecond
+	// responseDelay is the time from a request to the header of its response.
+	responseDelay = 100 * time.Millisecond
+	// refusalDelay is the time from a request to its refusal, retryAfter the retry time that the
+	// refusal names.
+	refusalDelay = 10 * time.Millisecond
+	retryAfter   = 3 * time.Second
 )
 
-var limitedLife = catalog.Life{ID: "head-1", Incarnation: 7}
+var limitedInstance = catalog.Life{ID: "head-1", Incarnation: 7}
 
-// sim plays daemons that would send an endpoint more than its limit.
+// sim simulates daemons whose demand for one endpoint exceeds its limit.
 type sim struct {
 	daemons []*simDaemon
-	limit   func(at time.Duration) Limit
-	// sheds is the part of the requests that the endpoint turns away, asking for rest; nil for
-	// none. refused are those that it did.
-	sheds   func(at time.Duration) float64
-	refused int
-	// demand is the number of requests a second that each daemon has and could send there.
+	// limit returns the limit that the endpoint announces at a time.
+	limit func(at time.Duration) Limit
+	// shedFraction returns the fraction of requests that the endpoint refuses with a retry time;
+	// nil for none. refused is the number of refused requests.
+	shedFraction func(at time.Duration) float64
+	refused      int
+	// demand is the rate of requests for the endpoint at each daemon, in requests a second.
 	demand float64
-	// arrivals are the requests that count.
+	// arrivals are the times of the requests that count; sent is the number of all requests.
 	arrivals []time.Duration
-	all      int
+	sent     int
 	rd       *rand.Rand
-	later    []event
-	at       time.Duration
+	// scheduled are the events to come; at is the time since the start of the run.
+	scheduled []event
+	at        time.Duration
 }
 
+// simDaemon is one daemon of the simulation.
 type simDaemon struct {
 	ip  string
 	reg *Register
-	// away daemons stand still or are gone; those that are cut don't hear others, nor are they
-	// heard; idle ones get no requests.
-	away, cut, idle bool
-	// seen are the daemons that it last heard of.
+	// A down daemon has stalled or stopped; a partitioned one exchanges no messages with the
+	// others; an idle one receives no requests.
+	down, partitioned, idle bool
+	// seen are the daemons that were last passed to SetDaemons.
 	seen []string
-	// answered is when its process first had an answer that names the limit; 0 before.
-	answered time.Duration
+	// limitKnownAt is when its process first received a response that announces the limit; 0
+	// before.
+	limitKnownAt time.Duration
 }
 
-// restart replaces the daemon's process, which knows nothing.
-func (da *simDaemon) restart() { da.reg, da.answered, da.seen = &Register{}, 0, nil }
+// restart replaces the daemon's process by one without state.
+func (da *simDaemon) restart() { da.reg, da.limitKnownAt, da.seen = &Register{}, 0, nil }
 
-// counts tells whether a request of the daemon counts.
+// counts reports whether a request that the daemon sends at the given time counts toward the
+// limit.
 func (da *simDaemon) counts(at time.Duration) bool {
-	return da.answered > 0 && at >= da.answered+toldBefore
+	return da.limitKnownAt > 0 && at >= da.limitKnownAt+awareAfter
 }
 
+// event is an action scheduled for a time.
 type event struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
+// newSim returns a simulation of a number of daemons, each with the given demand in requests a
+// second, and an endpoint with the given limit.
 func newSim(daemons int, demand float64, limit func(at time.Duration) Limit) *sim {
 	si := &sim{demand: demand, limit: limit, rd: rand.New(rand.NewPCG(1, uint64(daemons)))}
 	for num := range daemons {
@@ -89,103 +98,107 @@
 
 func (si *sim) now() time.Time { return time.Unix(0, 0).Add(si.at) }
 
-func (si *sim) after(span time.Duration, do func()) {
-	si.later = append(si.later, event{si.at + span, do})
+// schedule runs an action after a time span.
+func (si *sim) schedule(span time.Duration, action func()) {
+	si.scheduled = append(si.scheduled, event{si.at + span, action})
 }
 
-// run plays until a moment. change may change daemons at each step.
+// run advances the simulation to the given time. It calls change at each step, which may change
+// daemons.
 func (si *sim) run(until time.Duration, change func(at time.Duration)) {
 	for ; si.at < until; si.at += tick {
 		change(si.at)
-		si.deliver()
+		si.runDue()
 		if si.at%time.Second == 0 {
-			si.spread()
+			si.updateMembers()
 		}
 		for _, da := range si.daemons {
-			if !da.away && !da.idle && si.rd.Float64() < si.demand*tick.Seconds() {
+			if !da.down && !da.idle && si.rd.Float64() < si.demand*tick.Seconds() {
 				si.send(da)
 			}
 		}
-		if si.at%beatEvery == 0 {
-			si.tell()
+		if si.at%heartbeatInterval == 0 {
+			si.sendNotices()
 		}
 	}
 }
 
-// deliver does what is due.
-func (si *sim) deliver() {
+// runDue runs the scheduled events that are due.
+func (si *sim) runDue() {
 	due := func(ev event) bool { return ev.at <= si.at }
-	for _, ev := range si.later {
+	for _, ev := range si.scheduled {
 		if due(ev) {
-			ev.do()
+			ev.run()
 		}
 	}
-	si.later = slices.DeleteFunc(si.later, due)
+	si.scheduled = slices.DeleteFunc(si.scheduled, due)
 }
 
-// spread tells each daemon who else takes requests.
-func (si *sim) spread() {
-	var taking []string
+// updateMembers passes to each daemon the daemons that accept requests.
+func (si *sim) updateMembers() {
+	var accepting []string
 	for _, da := range si.daemons {
-		if !da.away && !da.cut {
-			taking = append(taking, da.ip)
+		if !da.down && !da.partitioned {
+			accepting = append(accepting, da.ip)
 		}
 	}
 	for _, da := range si.daemons {
-		seen := taking
-		if da.cut {
+		seen := accepting
+		if da.partitioned {
 			seen = []string{da.ip}
 		}
-		if !da.away && !slices.Equal(da.seen, seen) {
+		if !da.down && !slices.Equal(da.seen, seen) {
 			da.seen = seen
 			da.reg.SetDaemons(da.ip, seen, len(si.daemons), si.now())
 		}
 	}
 }
 
+// send sends a request from the daemon if its register permits it, and schedules the response.
 func (si *sim) send(da *simDaemon) {
-	if !da.reg.Takes(limitedLife, si.now()) {
+	if !da.reg.Takes(limitedInstance, si.now()) {
 		return
 	}
-	da.reg.Sent(limitedLife, si.now())
-	si.all++
+	da.reg.Sent(limitedInstance, si.now())
+	si.sent++
 	if da.counts(si.at) {
 		si.arrivals = append(si.arrivals, si.at)
 	}
-	if si.sheds != nil && si.rd.Float64() < si.sheds(si.at) {
+	if si.shedFraction != nil && si.rd.Float64() < si.shedFraction(si.at) {
 		si.refused++
-		si.after(refuseTime, func() { da.reg.SetRest(limitedLife, rest, si.now()) })
+		si.schedule(refusalDelay, func() { da.reg.SetRest(limitedInstance, retryAfter, si.now()) })
 		return
 	}
 	reg, sent, limit := da.reg, si.now(), si.limit(si.at)
-	si.after(answerTime, func() {
-		reg.SetTaken(limitedLife, sent, si.now())
-		reg.SetLimit(limitedLife, limit, sent, si.now())
-		if limit.Named && reg == da.reg && da.answered == 0 {
-			da.answered = si.at
+	si.schedule(responseDelay, func() {
+		reg.SetTaken(limitedInstance, sent, si.now())
+		reg.SetLimit(limitedInstance, limit, sent, si.now())
+		if limit.Named && reg == da.reg && da.limitKnownAt == 0 {
+			da.limitKnownAt = si.at
 		}
 	})
 }
 
-// tell passes on what daemons have to tell. They tell everyone, as a steward does.
-func (si *sim) tell() {
+// sendNotices delivers the pending notices of each daemon to all others, as a steward relays them.
+func (si *sim) sendNotices() {
 	for _, da := range si.daemons {
-		words := da.reg.Tell(si.now(), beatEvery, false)
-		if len(words) == 0 || da.cut || da.away {
+		notices := da.reg.Tell(si.now(), heartbeatInterval, false)
+		if len(notices) == 0 || da.partitioned || da.down {
 			continue
 		}
-		si.after(told, func() {
+		si.schedule(noticeDelay, func() {
 			for _, other := range si.daemons {
-				if other != da && !other.cut && !other.away {
-					other.reg.Hear(words, si.now())
+				if other != da && !other.partitioned && !other.down {
+					other.reg.Hear(notices, si.now())
 				}
 			}
 		})
 	}
 }
 
-// largest is the most that the endpoint got in one window that ends after a moment.
-func (si *sim) largest(after time.Duration) int {
+// maxInWindow returns the largest number of counted requests in any window that starts at the
+// given time or later.
+func (si *sim) maxInWindow(after time.Duration) int {
 	largest := 0
 	for i := range si.arrivals {
 		num := 0
@@ -201,8 +214,8 @@
 	return largest
 }
 
-// perSecond is what counts of what the endpoint got between two moments.
-func (si *sim) perSecond(from, to time.Duration) float64 {
+// rate returns the rate of counted requests between two times, in requests a second.
+func (si *sim) rate(from, to time.Duration) float64 {
 	num := 0
 	for _, at := range si.arrivals {
 		if at >= from && at < to {
@@ -212,18 +225,18 @@
 	return float64(num) / (to - from).Seconds()
 }
 
-func named(perSecond float64) func(time.Duration) Limit {
+// constantLimit returns a limit function for a limit that does not change.
+func constantLimit(perSecond float64) func(time.Duration) Limit {
 	return func(time.Duration) Limit { return Limit{perSecond, true} }
 }
 
-// Guards against limits that each daemon keeps by itself: an endpoint gets as many times its
-// limit as there are daemons, or a request of each of them at once. The load is that of many
-// daemons, each of which could send the endpoint a few requests a second and twice its part of
-// the limit at least, while daemons stop and start one after the other, stand still, or are cut
-// off from the others.
-func TestLimitOverDaemons(t *testing.T) {
+// Guards against daemons that enforce the limit independently of each other: the endpoint then
+// receives its limit times the number of daemons, or one request from each of them at once. The
+// demand at each daemon is a few requests a second and at least twice its share of the limit,
+// while daemons restart one after another, stall, or are partitioned from the others.
+func TestLimitAcrossDaemons(t *testing.T) {
 	const until = 42 * time.Second
-	troubles := []struct {
+	scenarios := []struct {
 		name   string
 		change func(si *sim, at time.Duration)
 	}{
@@ -231,7 +244,7 @@
 		{"rolling restart", func(si *sim, at time.Duration) {
 			for num, da := range si.daemons {
 				begin := 10*time.Second + time.Duration(num)*700*time.Millisecond
-				da.away = at >= begin && at < begin+2*time.Second
+				da.down = at >= begin && at < begin+2*time.Second
 				if at == begin {
 					da.restart()
 				}
@@ -239,34 +252,34 @@
 		}},
 		{"a third stands still", func(si *sim, at time.Duration) {
 			for num, da := range si.daemons {
-				da.away = num%3 == 0 && at >= 20*time.Second && at < 25*time.Second
+				da.down = num%3 == 0 && at >= 20*time.Second && at < 25*time.Second
 			}
 		}},
 		{"two are cut off", func(si *sim, at time.Duration) {
 			for _, da := range si.daemons[:2] {
-				da.cut = at >= 20*time.Second && at < 40*time.Second
+				da.partitioned = at >= 20*time.Second && at < 40*time.Second
 			}
 		}},
 	}
 	for _, daemons := range []int{1, 6, 65, 370} {
 		for _, perSecond := range []float64{0, 0.4, 1.4, 7, 40} {
-			for _, tr := range troubles {
-				// The smallest limits have as few holders among 370 daemons as among 65.
+			for _, tr := range scenarios {
+				// The smallest limits have the same number of senders among 370 daemons as among 65.
 				if daemons < 6 && tr.name != "calm" || daemons > 65 && perSecond < 1 {
 					continue
 				}
 				t.Run(fmt.Sprintf("%d daemons/%v a second/%s", daemons, perSecond, tr.name), func(t *testing.T) {
 					t.Parallel()
-					si := newSim(daemons, max(3, 2*perSecond/float64(daemons)), named(perSecond))
+					si := newSim(daemons, max(3, 2*perSecond/float64(daemons)), constantLimit(perSecond))
 					si.run(until, func(at time.Duration) { tr.change(si, at) })
 					allowed := ratio*perSecond*window.Seconds() + slack
-					num, used := si.largest(learnt), si.perSecond(learnt, until)
-					t.Logf("at most %d in %s, allowed %.1f; %.2f a second", num, window, allowed, used)
+					num, achieved := si.maxInWindow(settleTime), si.rate(settleTime, until)
+					t.Logf("at most %d requests in %s, allowed %.1f; %.2f requests a second", num, window, allowed, achieved)
 					if float64(num) > allowed {
 						t.Errorf("%d requests in %s, allowed %.1f", num, window, allowed)
 					}
-					if tr.name == "calm" && used < perSecond/2 {
-						t.Errorf("%.2f requests a second of a limit of %.2f", used, perSecond)
+					if tr.name == "calm" && achieved < perSecond/2 {
+						t.Errorf("%.2f requests a second, want at least half of the limit of %.2f", achieved, perSecond)
 					}
 				})
 			}
@@ -274,8 +287,9 @@
 	}
 }
 
-// Guards against an endpoint that stays limited although it says so no more, and against one
-// that nobody asks any more: with a limit of 0, or where those whose part it is get no requests.
+// Guards against an endpoint that stays limited after it has stopped announcing a limit, and
+// against one that no daemon sends to any more, because its limit is 0 or because its senders
+// receive no requests.
 func TestLimitIsWithdrawn(t *testing.T) {
 	const ends, until = 20 * time.Second, 90 * time.Second
 	for _, perSecond := range []float64{0, 1.4} {
@@ -295,7 +309,7 @@
 					})
 					byRank := slices.Clone(si.daemons)
 					slices.SortFunc(byRank, func(one, other *simDaemon) int {
-						if weight(one.ip, limitedLife.ID) > weight(other.ip, limitedLife.ID) {
+						if weight(one.ip, limitedInstance.ID) > weight(other.ip, limitedInstance.ID) {
 							return -1
 						}
 						return 1
@@ -304,11 +318,11 @@
 						da.idle = true
 					}
 					si.run(until-10*time.Second, func(time.Duration) {})
-					before := si.all
+					before := si.sent
 					si.run(until, func(time.Duration) {})
 					want := demand * float64(daemons-idle) / 2
-					if used := float64(si.all-before) / 10; used < want {
-						t.Errorf("%.2f requests a second long after the limit ended, want %.2f", used, want)
+					if used := float64(si.sent-before) / 10; used < want {
+						t.Errorf("%.2f requests a second long after the limit ended, want at least %.2f", used, want)
 					}
 				})
 			}
@@ -316,48 +330,48 @@
 	}
 }
 
-// Guards against an old answer, or an old word of another daemon, that ends a newer limit, and
-// against one life's limit that holds for another.
-func TestLimitsOrder(t *testing.T) {
+// Guards against an old response, or an old notice of another daemon, that replaces a newer limit,
+// and against the limit of one incarnation being applied to another.
+func TestLimitOrdering(t *testing.T) {
 	begin := time.Unix(100, 0)
 	after := func(span time.Duration) time.Time { return begin.Add(span) }
 	limit, none := Limit{2, true}, Limit{}
-	next := catalog.Life{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
+	next := catalog.Life{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name  string
-		play  func(re *Register)
+		run   func(re *Register)
 		named bool
 	}{
 		{"named", func(*Register) {}, true},
-		{"withdrawn", func(re *Register) { re.SetLimit(limitedLife, none, after(time.Second), after(2*time.Second)) }, false},
+		{"withdrawn", func(re *Register) { re.SetLimit(limitedInstance, none, after(time.Second), after(2*time.Second)) }, false},
 		{"the answer to an earlier request comes late", func(re *Register) {
-			re.SetLimit(limitedLife, none, after(-time.Second), after(2*time.Second))
+			re.SetLimit(limitedInstance, none, after(-time.Second), after(2*time.Second))
 		}, true},
 		{"another daemon's newer word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
+			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
 		}, false},
 		{"another daemon's older word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
+			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
 		}, true},
 		{"another daemon's word that says nothing of a limit", func(re *Register) {
 			other := &Register{}
-			other.SetRest(limitedLife, 3*time.Second, after(time.Second))
+			other.SetRest(limitedInstance, 3*time.Second, after(time.Second))
 			re.Hear(other.Known(after(time.Second)), after(time.Second))
-			other.SetLeaving(limitedLife, after(time.Second))
+			other.SetLeaving(limitedInstance, after(time.Second))
 			re.Hear(other.Known(after(2*time.Second)), after(2*time.Second))
 		}, true},
 		{"the process starts anew", func(re *Register) { re.SetLimit(next, none, after(time.Second), after(2*time.Second)) }, false},
 		{"a word of its earlier life", func(re *Register) {
 			re.SetLimit(next, limit, after(time.Second), after(2*time.Second))
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: 1}}, after(3*time.Second))
+			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: 1}}, after(3*time.Second))
 		}, true},
-		{"not repeated for long", func(re *Register) { re.Sweep(after(forgetAfter + time.Second)) }, false},
+		{"not repeated for long", func(re *Register) { re.Sweep(after(retention + time.Second)) }, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			re := &Register{}
-			re.SetLimit(limitedLife, limit, after(-time.Millisecond), begin)
-			tc.play(re)
+			re.SetLimit(limitedInstance, limit, after(-time.Millisecond), begin)
+			tc.run(re)
 			if got := re.NumLimited() == 1; got != tc.named {
 				t.Errorf("limited: %v, want %v", got, tc.named)
 			}
@@ -365,13 +379,13 @@
 	}
 }
 
-// Guards against words that are not told to daemons that come later, or that are told without
-// end.
-func TestTell(t *testing.T) {
+// Guards against notices that do not reach daemons that start later, and against notices that are
+// repeated without end.
+func TestPendingNotices(t *testing.T) {
 	now := time.Unix(100, 0)
 	const span = 200 * time.Millisecond
 	re := &Register{}
-	re.SetLimit(limitedLife, Limit{2, true}, now, now)
+	re.SetLimit(limitedInstance, Limit{2, true}, now, now)
 	steps := []struct {
 		at    time.Duration
 		again bool
@@ -381,74 +395,74 @@
 	for _, st := range steps {
 		at := now.Add(st.at)
 		if st.again {
-			re.SetLimit(limitedLife, Limit{2, true}, at, at)
+			re.SetLimit(limitedInstance, Limit{2, true}, at, at)
 		}
 		if got := len(re.Tell(at, span, false)); got != st.want {
-			t.Errorf("after %s: %d words, want %d", st.at, got, st.want)
+			t.Errorf("after %s: %d notices, want %d", st.at, got, st.want)
 		}
 	}
 	if num := len(re.Known(now.Add(5500 * time.Millisecond))); num != 1 {
-		t.Errorf("%d words for a daemon that has started", num)
+		t.Errorf("%d notices for a daemon that has just started, want 1", num)
 	}
 	re.Retell()
 	if num := len(re.Tell(now.Add(5500*time.Millisecond), span, false)); num != 1 {
-		t.Errorf("%d words for a steward that has started", num)
+		t.Errorf("%d notices for a new steward, want 1", num)
 	}
-	re.SetLimit(limitedLife, Limit{3, true}, now.Add(6*time.Second), now.Add(6*time.Second))
-	re.SetRest(limitedLife, 20*time.Second, now.Add(6*time.Second))
+	re.SetLimit(limitedInstance, Limit{3, true}, now.Add(6*time.Second), now.Add(6*time.Second))
+	re.SetRest(limitedInstance, 20*time.Second, now.Add(6*time.Second))
 	re.Hear(re.Known(now.Add(6*time.Second)), now.Add(6100*time.Millisecond))
 	re.Tell(now.Add(7*time.Second), span, false)
 	re.Retell()
 	if num := len(re.Tell(now.Add(8*time.Second), span, false)); num != 1 {
-		t.Errorf("%d words of its own left after they came back", num)
+		t.Errorf("%d first-hand notices after they were echoed back, want 1", num)
 	}
 	other := &Register{}
-	other.Hear([]Word{{Life: limitedLife, Limit: Limit{2, true}, LimitAge: 1}}, now)
+	other.Hear([]Word{{Life: limitedInstance, Limit: Limit{2, true}, LimitAge: 1}}, now)
 	if num := len(other.Tell(now, span, false)); num != 0 {
-		t.Errorf("%d words of others passed on", num)
+		t.Errorf("%d notices of other daemons relayed without relay, want 0", num)
 	}
 	if num := len(other.Tell(now, span, true)); num != 1 {
-		t.Errorf("the steward passes on %d words", num)
+		t.Errorf("%d notices of other daemons relayed by the steward, want 1", num)
 	}
 }
 
-// Guards against a word of leaving that outlasts the process that said it, and against one that
-// a daemon forgets while the process still stops.
-func TestLeavingIsOneLife(t *testing.T) {
+// Guards against a shutdown announcement that outlasts the process that made it, and against one
+// that a daemon drops while the process is still shutting down.
+func TestLeavingEndsWithIncarnation(t *testing.T) {
 	now := time.Unix(100, 0)
-	unknown := catalog.Life{ID: limitedLife.ID}
-	next := catalog.Life{ID: limitedLife.ID, Incarnation: limitedLife.Incarnation + 1}
+	unknown := catalog.Life{ID: limitedInstance.ID}
+	next := catalog.Life{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name string
-		play func(re *Register)
+		run  func(re *Register)
 		want map[catalog.Life]bool
 	}{
-		{"said in an answer", func(re *Register) { re.SetLeaving(limitedLife, now) }, map[catalog.Life]bool{limitedLife: true, next: false}},
-		{"said by a life whose start is learnt later", func(re *Register) {
+		{"announced in a response", func(re *Register) { re.SetLeaving(limitedInstance, now) }, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		{"announced before the incarnation is known", func(re *Register) {
 			re.SetLeaving(unknown, now)
-			re.Takes(limitedLife, now)
-		}, map[catalog.Life]bool{limitedLife: true, next: false}},
-		{"told by another daemon", func(re *Register) {
-			if num := len(re.Hear([]Word{{Life: limitedLife, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
-				t.Errorf("%d endpoints new", num)
+			re.Takes(limitedInstance, now)
+		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		{"notice from another daemon", func(re *Register) {
+			if num := len(re.Hear([]Word{{Life: limitedInstance, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
+				t.Errorf("%d endpoints with a new shutdown announcement, want 1", num)
 			}
-		}, map[catalog.Life]bool{limitedLife: true, next: false}},
-		{"answers that don't repeat it", func(re *Register) {
-			re.SetLeaving(limitedLife, now)
-			re.SetLimit(limitedLife, Limit{}, now.Add(time.Second), now.Add(time.Second))
+		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		{"responses that do not repeat it", func(re *Register) {
+			re.SetLeaving(limitedInstance, now)
+			re.SetLimit(limitedInstance, Limit{}, now.Add(time.Second), now.Add(time.Second))
 			re.Sweep(now.Add(time.Minute))
-		}, map[catalog.Life]bool{limitedLife: true}},
-		{"long ago", func(re *Register) {
-			re.SetLeaving(limitedLife, now)
-			re.Sweep(now.Add(forgetAfter + time.Second))
-		}, map[catalog.Life]bool{limitedLife: false}},
+		}, map[catalog.Life]bool{limitedInstance: true}},
+		{"retention period over", func(re *Register) {
+			re.SetLeaving(limitedInstance, now)
+			re.Sweep(now.Add(retention + time.Second))
+		}, map[catalog.Life]bool{limitedInstance: false}},
 	}
 	for _, tc := range tests {
 		re := &Register{}
-		tc.play(re)
+		tc.run(re)
 		for li, want := range tc.want {
 			if got := re.Leaving(li); got != want || re.Takes(li, now) == want {
-				t.Errorf("%s: %v leaves: %v, want %v", tc.name, li, got, want)
+				t.Errorf("%s: %v: leaving %v, want %v", tc.name, li, got, want)
 			}
 		}
 	}
--- a/internal/core/backpressure/register.go
+++ b/internal/core/backpressure/register.go
@@ -1,5 +1,6 @@
-// Package backpressure holds what endpoints say in their answers of how much they take, and
-// decides by that what they are sent.
+// Package backpressure tracks the rate limits, refusals and shutdown announcements in the
+// responses of endpoints. From these it decides whether and when this daemon sends requests to
+// an endpoint, and it shares them with the other daemons.
 package backpressure
 
 import (
@@ -10,79 +11,82 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// forgetAfter is how long what an endpoint said is kept if no answer repeats it.
-const forgetAfter = 2 * time.Minute
+// retention is how long the state of an endpoint is kept if no response refreshes it.
+const retention = 2 * time.Minute
 
-// Register holds what endpoints said last. It may be used from several goroutines; the zero
-// value is that of a daemon without others. A nil register lets everything pass.
+// Register holds the last known backpressure state of each endpoint. It is safe for concurrent
+// use. The zero value is ready for use in a daemon that runs alone. On a nil Register, the
+// methods Takes, Sent, Opens, Leaving and Restricted treat every endpoint as unrestricted.
 type Register struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
 	daemons   daemons
-	// num is the number of endpoints, so that nothing is locked while there are none.
+	// num is len(endpoints). Readers check it first, to avoid the lock while the map is empty.
 	num atomic.Int64
 }
 
-// endpoint is what one process of an endpoint said.
+// endpoint is the state of one endpoint instance, a single run of a server process.
 type endpoint struct {
 	incarnation catalog.Incarnation
-	limited
-	rested
-	// leaving is set once it has said that it stops soon, leftAt is when it last did.
-	leaving bool
-	leftAt  time.Time
-	tellings
+	limitState
+	shedState
+	// leaving is set once the endpoint has announced its shutdown; leavingAsOf is the time of the
+	// latest announcement.
+	leaving     bool
+	leavingAsOf time.Time
+	noticeState
 }
 
-// opens returns after what time the endpoint takes a request of this daemon; false if that
-// isn't known.
-func (ep *endpoint) opens(now time.Time, daemons int) (time.Duration, bool) {
+// waitTime returns how long this daemon must wait before it may send a request to the endpoint.
+// The second value is false if no such time is known.
+func (ep *endpoint) waitTime(now time.Time, daemons int) (time.Duration, bool) {
 	if ep.leaving {
 		return 0, false
 	}
-	wait, known := ep.limited.opens(now, daemons)
-	return max(wait, ep.rested.opens(now, ep.rank)), known
+	wait, known := ep.limitState.waitTime(now, daemons)
+	return max(wait, ep.shedState.waitTime(now, ep.rank)), known
 }
 
-// takes tells whether the endpoint takes a request of this daemon now.
-func (ep *endpoint) takes(now time.Time, daemons int) bool {
-	wait, known := ep.opens(now, daemons)
+// accepts reports whether this daemon may send a request to the endpoint now.
+func (ep *endpoint) accepts(now time.Time, daemons int) bool {
+	wait, known := ep.waitTime(now, daemons)
 	return known && wait <= 0
 }
 
-// idle tells whether nothing is known of the endpoint that holds still.
-func (ep *endpoint) idle(now time.Time) bool {
-	return now.Sub(ep.limitAt) > forgetAfter && now.Sub(ep.leftAt) > forgetAfter && now.Sub(ep.shedAt) > forgetAfter &&
-		now.Sub(ep.restUntil) > refusalsKept
+// expired reports whether all state of the endpoint is out of date.
+func (ep *endpoint) expired(now time.Time) bool {
+	return now.Sub(ep.limitAsOf) > retention && now.Sub(ep.leavingAsOf) > retention && now.Sub(ep.shedAt) > retention &&
+		now.Sub(ep.backoffUntil) > refusalWindow
 }
 
-// SetRest takes in that the endpoint turned a request away and wants none of this daemon for
-// that long.
-func (re *Register) SetRest(li catalog.Life, rest time.Duration, now time.Time) {
+// SetRest records that the endpoint refused a request and asked this daemon to send none for the
+// given time.
+func (re *Register) SetRest(li catalog.Life, retryAfter time.Duration, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ep := re.life(li)
+	ep := re.ensure(li)
 	if ep == nil {
 		return
 	}
-	if until := now.Add(rest); until.After(ep.restUntil) {
-		ep.restUntil = until
+	if until := now.Add(retryAfter); until.After(ep.backoffUntil) {
+		ep.backoffUntil = until
 	}
-	ep.setShed(now, rest+probeSpan)
-	ep.due, ep.heard = true, true
+	ep.setShed(now, retryAfter+probeSpan)
+	ep.pending, ep.firstHand = true, true
 }
 
-// SetRefused takes in that the endpoint turned a request away that was sent then, without asking
-// for rest. Refusals to requests that were sent while it was left out count once.
+// SetRefused records that the endpoint refused a request without naming a retry time. sent is
+// when the request was sent. Refusals of requests that were sent before the current back-off
+// ends are ignored, so that requests in flight at the same time count once.
 func (re *Register) SetRefused(li catalog.Life, sent, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if ep := re.life(li); ep != nil && !sent.Before(ep.restUntil) {
-		ep.refuse(now)
+	if ep := re.ensure(li); ep != nil && !sent.Before(ep.backoffUntil) {
+		ep.addRefusal(now)
 	}
 }
 
-// SetTaken takes in that the endpoint took a request that was sent then.
+// SetTaken records that the endpoint accepted a request. sent is when the request was sent.
 func (re *Register) SetTaken(li catalog.Life, sent, now time.Time) {
 	if re.num.Load() == 0 {
 		return
@@ -95,12 +99,12 @@
 	}
 	ep.refusals = 0
 	if now.Before(ep.shedUntil) && ep.setShed(sent, 0) {
-		ep.due, ep.heard = true, true
+		ep.pending, ep.firstHand = true, true
 	}
 }
 
-// SetLimit takes in the limit of an answer to a request that was sent then, and tells whether
-// it differs from what was known.
+// SetLimit records the limit that a response announced, or that it announced none, and reports
+// whether it differs from the known limit. sent is when the request was sent.
 func (re *Register) SetLimit(li catalog.Life, limit Limit, sent, now time.Time) bool {
 	if !limit.Named && re.num.Load() == 0 {
 		return false
@@ -112,36 +116,38 @@
 	}
 	at := now
 	if !limit.Named {
-		// An answer may come late, after one that the endpoint made later.
+		// Responses can be reordered: one that announces no limit may arrive after a newer one
+		// that does.
 		at = sent
 	}
-	ep := re.life(li)
-	if ep == nil || at.Before(ep.limitAt) {
+	ep := re.ensure(li)
+	if ep == nil || at.Before(ep.limitAsOf) {
 		return false
 	}
-	ep.heard = true
+	ep.firstHand = true
 	return ep.setLimit(limit, at, now)
 }
 
-// setLimit replaces an endpoint's limit, and tells whether it has changed.
+// setLimit replaces the limit of an endpoint as of at, and reports whether it has changed.
 func (ep *endpoint) setLimit(limit Limit, at, now time.Time) bool {
 	before := ep.limit
 	if !limit.Named && !before.Named {
 		return false
 	}
-	ep.limit, ep.limitAt = limit, at
+	ep.limit, ep.limitAsOf = limit, at
 	if limit == before {
 		return false
 	}
-	ep.due = true
+	ep.pending = true
 	if !before.Named {
-		ep.empty(now)
+		ep.clearTokens(now)
 	}
 	return true
 }
 
-// life returns what is known of a life of an endpoint, or nil if a later life is known.
-func (re *Register) life(li catalog.Life) *endpoint {
+// ensure returns the state of an endpoint instance and creates it if necessary. It returns nil
+// if a later incarnation is known.
+func (re *Register) ensure(li catalog.Life) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep != nil && ep.incarnation.Differs(li.Incarnation) {
 		if li.Incarnation < ep.incarnation {
@@ -164,8 +170,8 @@
 	return ep
 }
 
-// find returns what is known of that life of an endpoint, or nil. What was said by a life whose
-// start wasn't known belongs to the first one that is.
+// find returns the state of an endpoint instance, or nil if there is none. State that was
+// recorded without an incarnation is assigned to the first incarnation that is looked up.
 func (re *Register) find(li catalog.Life) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep == nil || ep.incarnation.Differs(li.Incarnation) {
@@ -177,7 +183,7 @@
 	return ep
 }
 
-// Takes tells whether the endpoint takes a request of this daemon now.
+// Takes reports whether this daemon may send a request to the endpoint now.
 func (re *Register) Takes(li catalog.Life, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return true
@@ -185,10 +191,10 @@
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.find(li)
-	return ep == nil || ep.takes(now, re.daemons.num())
+	return ep == nil || ep.accepts(now, re.daemons.num())
 }
 
-// Sent counts a request that is sent to the endpoint.
+// Sent deducts a request that is being sent to the endpoint from this daemon's share of its limit.
 func (re *Register) Sent(li catalog.Life, now time.Time) {
 	if re == nil || re.num.Load() == 0 {
 		return
@@ -196,12 +202,13 @@
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if ep := re.find(li); ep != nil {
-		ep.spend(now, re.daemons.num())
+		ep.spendToken(now, re.daemons.num())
 	}
 }
 
-// Opens returns after what time the endpoint takes a request of this daemon: 0 if it does now.
-// The second value is false if that isn't known.
+// Opens returns how long this daemon must wait before it may send a request to the endpoint. The
+// result is 0 or less if it may send now. The second value is false if no such time is known: the
+// endpoint is shutting down, or only other daemons send to it.
 func (re *Register) Opens(li catalog.Life, now time.Time) (time.Duration, bool) {
 	if re == nil || re.num.Load() == 0 {
 		return 0, true
@@ -212,29 +219,29 @@
 	if ep == nil {
 		return 0, true
 	}
-	return ep.opens(now, re.daemons.num())
+	return ep.waitTime(now, re.daemons.num())
 }
 
-// SetLeaving takes in that the endpoint said then that it stops soon, and tells whether that is
-// new. It can't be taken back but by another incarnation.
+// SetLeaving records that the endpoint announced its shutdown at the given time, and reports
+// whether that was unknown before. The announcement holds for the rest of the incarnation.
 func (re *Register) SetLeaving(li catalog.Life, at time.Time) bool {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ep := re.life(li)
+	ep := re.ensure(li)
 	if ep == nil {
 		return false
 	}
-	news := !ep.leaving
-	if at.After(ep.leftAt) {
-		ep.leftAt = at
+	changed := !ep.leaving
+	if at.After(ep.leavingAsOf) {
+		ep.leavingAsOf = at
 	}
-	if news {
-		ep.leaving, ep.due, ep.heard = true, true, true
+	if changed {
+		ep.leaving, ep.pending, ep.firstHand = true, true, true
 	}
-	return news
+	return changed
 }
 
-// Leaving tells whether the endpoint has said that it stops soon.
+// Leaving reports whether the endpoint has announced its shutdown.
 func (re *Register) Leaving(li catalog.Life) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
@@ -245,20 +252,22 @@
 	return ep != nil && ep.leaving
 }
 
-// Resting returns the number of endpoints that want no request of this daemon.
+// Resting returns the number of endpoints to which this daemon sends nothing because it backs off
+// after a refusal.
 func (re *Register) Resting(now time.Time) int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
 	for _, ep := range re.endpoints {
-		if now.Before(ep.restUntil) {
+		if now.Before(ep.backoffUntil) {
 			num++
 		}
 	}
 	return num
 }
 
-// Restricted tells whether few daemons or none send to the endpoint now.
+// Restricted reports whether the endpoint has a limit, sheds load or is shutting down, so that at
+// most a few daemons send to it now.
 func (re *Register) Restricted(li catalog.Life, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
@@ -269,7 +278,7 @@
 	return ep != nil && (ep.limit.Named || ep.leaving || now.Before(ep.shedUntil))
 }
 
-// NumLimited returns the number of endpoints that name a limit.
+// NumLimited returns the number of endpoints with an announced limit.
 func (re *Register) NumLimited() int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -282,28 +291,29 @@
 	return num
 }
 
-// SetDaemons tells the address of this daemon, which daemons take requests, with this one if
-// it does, and how many are known.
-func (re *Register) SetDaemons(own string, taking []string, known int, now time.Time) {
+// SetDaemons sets the daemons that share limits: own is the address of this daemon, accepting
+// lists the addresses of all daemons that accept requests, including this one if it does, and
+// known is the number of daemons that are known, reachable or not.
+func (re *Register) SetDaemons(own string, accepting []string, known int, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.daemons = daemons{own, taking, known}
+	re.daemons = daemons{own, accepting, known}
 	for id, ep := range re.endpoints {
 		rank := re.daemons.rank(id)
 		if rank < ep.rank {
-			// The daemon whose part it takes over may just have used it.
-			ep.empty(now)
+			// The daemon that held this rank before may have just used up its share.
+			ep.clearTokens(now)
 		}
 		ep.rank = rank
 	}
 }
 
-// Sweep forgets what was not repeated for long.
+// Sweep deletes the state of endpoints that no response has refreshed for the retention period.
 func (re *Register) Sweep(now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	for id, ep := range re.endpoints {
-		if ep.idle(now) {
+		if ep.expired(now) {
 			delete(re.endpoints, id)
 		}
 	}
--- a/internal/core/backpressure/rest.go
+++ b/internal/core/backpressure/rest.go
@@ -2,67 +2,73 @@
 
 import "time"
 
-// An endpoint asks one daemon for rest, but it turns the others' requests away as well mostly.
-// If each of 195 daemons had to learn that by a refusal of its own, every three seconds anew,
-// refusals would use up the retry budget. So the word of one daemon leaves the endpoint to a
-// few others, who find out whether it takes requests; once it does, all may send again.
+// An endpoint names a retry time only in its refusal to one daemon, but it usually refuses the
+// requests of the other daemons as well. If each of 195 daemons had to be refused once to find
+// out, again every three seconds, the refusals would use up the retry budget. Therefore a notice
+// from one daemon restricts the endpoint to a few other daemons, the probers, which test whether
+// it accepts requests. Once it does, all daemons may send again.
 
 const (
-	// probers is the number of daemons that may send to an endpoint which has asked another one
-	// for rest.
+	// probers is the number of daemons that may send to an endpoint which has named a retry time
+	// to another daemon.
 	probers = 6
-	// probeSpan is how long after a rest has ended that still holds: long enough for their
-	// requests to be answered and for the others to hear of it.
+	// probeSpan is how long the endpoint stays restricted to the probers after the retry time:
+	// long enough for their requests to be answered and for the other daemons to be notified.
 	probeSpan = 500 * time.Millisecond
 )
 
-// rested is what is known of an endpoint that turns requests away.
-type rested struct {
-	// restUntil is until when it wants no request of this daemon.
-	restUntil time.Time
-	// shedAt is when it last turned away or took a request of any daemon, shedUntil is until
-	// when it is left to the probers; not after shedAt if it took one.
+// shedState is the state of an endpoint that refuses requests.
+type shedState struct {
+	// backoffUntil is the time until which this daemon sends no requests to the endpoint.
+	backoffUntil time.Time
+	// shedAt is when the endpoint last refused or accepted a request of any daemon. shedUntil is
+	// when the restriction to the probers ends; it is not after shedAt if the request was
+	// accepted.
 	shedAt, shedUntil time.Time
-	// refusals are the requests in a row that it turned away without asking for rest.
+	// refusals is the number of consecutive refusals without a retry time.
 	refusals int
 }
 
 const (
-	// backoffFirst is for how long a daemon leaves out an endpoint that turns requests away
-	// without asking for rest. The time doubles with each refusal in a row, up to backoffMost.
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 1600 * time.Millisecond
-	// refusalsInRow is the number of refusals in a row from which that holds. One alone is that
-	// of an endpoint whose last place was taken meanwhile.
-	refusalsInRow = 2
-	// refusalsKept is how long after that the refusals still count as in a row.
-	refusalsKept = 5 * time.Second
+	// minBackoff is how long a daemon sends nothing to an endpoint that refuses requests without
+	// naming a retry time. The time doubles with each consecutive refusal, up to maxBackoff.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
+	// backoffThreshold is the number of consecutive refusals at which back-off starts. A single
+	// refusal only means that another request took the last free slot first.
+	backoffThreshold = 2
+	// refusalWindow is how long after a back-off the count of consecutive refusals is kept, at
+	// least.
+	refusalWindow = 5 * time.Second
 )
 
-// refuse takes in that the endpoint turned a request away without asking for rest.
-func (rs *rested) refuse(now time.Time) {
+// addRefusal counts a refusal without a retry time, and starts or extends the back-off once there
+// are backoffThreshold in a row.
+func (rs *shedState) addRefusal(now time.Time) {
 	rs.refusals++
-	if rs.refusals < refusalsInRow {
+	if rs.refusals < backoffThreshold {
 		return
 	}
-	backoff := min(backoffMost, backoffFirst<<min(rs.refusals-refusalsInRow, 10))
-	if until := now.Add(backoff); until.After(rs.restUntil) {
-		rs.restUntil = until
+	backoff := min(maxBackoff, minBackoff<<min(rs.refusals-backoffThreshold, 10))
+	if until := now.Add(backoff); until.After(rs.backoffUntil) {
+		rs.backoffUntil = until
 	}
 }
 
-// opens returns after what time this daemon may send to the endpoint.
-func (rs *rested) opens(now time.Time, rank int) time.Duration {
-	wait := rs.restUntil.Sub(now)
+// waitTime returns how long this daemon must wait before it may send to the endpoint; rank is its
+// position in the endpoint's order of senders.
+func (rs *shedState) waitTime(now time.Time, rank int) time.Duration {
+	wait := rs.backoffUntil.Sub(now)
 	if rank >= probers {
 		wait = max(wait, rs.shedUntil.Sub(now))
 	}
 	return wait
 }
 
-// setShed takes in that the endpoint turned a request away then, and is to be left to the
-// probers for that long; or took one, where that is 0. It tells whether it is news.
-func (rs *rested) setShed(at time.Time, span time.Duration) bool {
+// setShed records that the endpoint refused a request at the given time and is restricted to the
+// probers for span, or, if span is 0, that it accepted one. It reports false if a later refusal or
+// acceptance is known already.
+func (rs *shedState) setShed(at time.Time, span time.Duration) bool {
 	if !at.After(rs.shedAt) {
 		return false
 	}
--- a/internal/core/backpressure/word.go
+++ b/internal/core/backpressure/word.go
@@ -6,94 +6,98 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// retellEvery is the time after which the others are told again of what an endpoint goes on
-// saying.
-const retellEvery = 3 * time.Second
+// resendInterval is the time after which a limit that the endpoint keeps announcing is sent to the
+// other daemons again.
+const resendInterval = 3 * time.Second
 
-// echoSlack is by how much older a word is taken that says what is known already: ages grow on
-// the way, and what a daemon told comes back to it.
-const echoSlack = 500 * time.Millisecond
+// echoTolerance is how much newer than the local state a notice with the same content must be to
+// be applied. A daemon's own notices come back to it, and transit time distorts their ages.
+const echoTolerance = 500 * time.Millisecond
 
-// Word is what an endpoint said, as daemons tell each other.
+// Word is a message between daemons with the state of one endpoint.
 type Word struct {
 	Life  catalog.Life `json:"life" cbor:"1,keyasint"`
 	Limit Limit        `json:"limit" cbor:"2,keyasint"`
-	// LimitAge is how long ago the endpoint held to the limit, or to none, for certain; 0 if it
-	// never named one. Ages are told and not times: the clocks of machines differ.
+	// LimitAge is how long ago the limit, or its absence, was last known to be in force; 0 if the
+	// endpoint has never announced a limit. Notices carry ages instead of times because the
+	// clocks of the daemons differ.
 	LimitAge time.Duration `json:"limit-age,omitempty" cbor:"3,keyasint,omitempty"`
-	// Leaving is set if the endpoint has said that it stops soon, LeavingAge is how long ago.
+	// Leaving is set if the endpoint has announced its shutdown; LeavingAge is how long ago.
 	Leaving    bool          `json:"leaving,omitempty" cbor:"4,keyasint,omitempty"`
 	LeavingAge time.Duration `json:"leaving-age,omitempty" cbor:"5,keyasint,omitempty"`
-	// Shed is for how long, from when the endpoint last turned a request away, few daemons only
-	// send to it; 0 if it has taken one since. ShedAge is how long ago either was; 0 for never.
+	// Shed is how long, counted from its last refusal, the endpoint is restricted to a few
+	// daemons; 0 if it has accepted a request since. ShedAge is how long ago that refusal or
+	// acceptance was; 0 if there was none.
 	Shed    time.Duration `json:"shed,omitempty" cbor:"6,keyasint,omitempty"`
 	ShedAge time.Duration `json:"shed-age,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// tellings is what the other daemons were told of an endpoint.
-type tellings struct {
-	// heard is set if the endpoint itself said last what is known of it.
-	heard bool
-	// due is set if the others are to be told, until is for how long they are.
-	due   bool
-	until time.Time
-	// told is as of when they were told last.
-	told time.Time
+// noticeState tracks which notices about an endpoint are sent to the other daemons.
+type noticeState struct {
+	// firstHand is set if the latest information came from a response to this daemon, and not
+	// from a notice.
+	firstHand bool
+	// pending is set if there is a change to send; notices are repeated until sendUntil.
+	pending   bool
+	sendUntil time.Time
+	// sentAsOf is the limitAsOf of the last notice that was scheduled.
+	sentAsOf time.Time
 }
 
-// Tell returns what the others are to be told now: what has changed, for some time since
-// messages may be lost, and what endpoints go on saying, now and then. relay adds what this
-// daemon has heard from others.
+// Tell returns the notices to send to the other daemons now. A change is repeated in each call
+// for the given span, since messages may be lost, and a limit that the endpoint keeps announcing
+// is sent again every resendInterval. If relay is set, the result includes state that this daemon
+// received from others.
 func (re *Register) Tell(now time.Time, span time.Duration, relay bool) []Word {
 	if re.num.Load() == 0 {
 		return nil
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var words []Word
+	var notices []Word
 	for id, ep := range re.endpoints {
-		if !ep.heard && !relay {
+		if !ep.firstHand && !relay {
 			continue
 		}
-		if ep.due || ep.limitAt.Sub(ep.told) >= retellEvery {
-			ep.due, ep.until, ep.told = false, now.Add(span), ep.limitAt
+		if ep.pending || ep.limitAsOf.Sub(ep.sentAsOf) >= resendInterval {
+			ep.pending, ep.sendUntil, ep.sentAsOf = false, now.Add(span), ep.limitAsOf
 		}
-		if now.Before(ep.until) {
-			words = append(words, ep.word(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+		if now.Before(ep.sendUntil) {
+			notices = append(notices, ep.notice(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
 		}
 	}
-	return words
+	return notices
 }
 
-// word is what there is to tell of the endpoint.
-func (ep *endpoint) word(li catalog.Life, now time.Time) Word {
-	wo := Word{Life: li, Limit: ep.limit, Leaving: ep.leaving}
-	if !ep.limitAt.IsZero() {
-		wo.LimitAge = max(1, now.Sub(ep.limitAt))
+// notice returns the notice with the current state of the endpoint.
+func (ep *endpoint) notice(li catalog.Life, now time.Time) Word {
+	nt := Word{Life: li, Limit: ep.limit, Leaving: ep.leaving}
+	if !ep.limitAsOf.IsZero() {
+		nt.LimitAge = max(1, now.Sub(ep.limitAsOf))
 	}
 	if ep.leaving {
-		wo.LeavingAge = now.Sub(ep.leftAt)
+		nt.LeavingAge = now.Sub(ep.leavingAsOf)
 	}
 	if !ep.shedAt.IsZero() {
-		wo.Shed = max(0, ep.shedUntil.Sub(ep.shedAt))
-		wo.ShedAge = max(1, now.Sub(ep.shedAt))
+		nt.Shed = max(0, ep.shedUntil.Sub(ep.shedAt))
+		nt.ShedAge = max(1, now.Sub(ep.shedAt))
 	}
-	return wo
+	return nt
 }
 
-// Known returns all that is known, for a daemon that has just started.
+// Known returns notices with the state of all endpoints, for a daemon that has just started.
 func (re *Register) Known(now time.Time) []Word {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var words []Word
+	var notices []Word
 	for id, ep := range re.endpoints {
-		words = append(words, ep.word(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+		notices = append(notices, ep.notice(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
 	}
-	return words
+	return notices
 }
 
-// Retell has the others told again of what endpoints said to this daemon: a new steward may
-// not know it.
+// Retell schedules all first-hand state to be sent to the other daemons again, as a new steward
+// may not have it.
 func (re *Register) Retell() {
 	if re.num.Load() == 0 {
 		return
@@ -101,72 +105,77 @@
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	for _, ep := range re.endpoints {
-		ep.due = ep.due || ep.heard
+		ep.pending = ep.pending || ep.firstHand
 	}
 }
 
-// Hear takes in what another daemon told, and returns the endpoints of which it is new that they
-// leave.
-func (re *Register) Hear(words []Word, now time.Time) (leaving []catalog.Life) {
-	for _, wo := range words {
-		if wo.Leaving && re.hearLeaving(wo, now) {
-			leaving = append(leaving, wo.Life)
+// Hear applies the notices of another daemon, and returns the endpoints whose shutdown was unknown
+// before.
+func (re *Register) Hear(notices []Word, now time.Time) (leaving []catalog.Life) {
+	for _, nt := range notices {
+		if nt.Leaving && re.applyLeaving(nt, now) {
+			leaving = append(leaving, nt.Life)
 		}
-		re.hearLimit(wo, now)
-		re.hearShed(wo, now)
+		re.applyLimit(nt, now)
+		re.applyShed(nt, now)
 	}
 	return leaving
 }
 
-func (re *Register) hearLeaving(wo Word, now time.Time) bool {
-	if !re.SetLeaving(wo.Life, now.Add(-wo.LeavingAge)) {
+// applyLeaving records a shutdown announcement that another daemon received, and reports whether
+// it was unknown before.
+func (re *Register) applyLeaving(nt Word, now time.Time) bool {
+	if !re.SetLeaving(nt.Life, now.Add(-nt.LeavingAge)) {
 		return false
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if ep := re.find(wo.Life); ep != nil {
-		ep.heard = false
+	if ep := re.find(nt.Life); ep != nil {
+		ep.firstHand = false
 	}
 	return true
 }
 
-func (re *Register) hearLimit(wo Word, now time.Time) {
-	if wo.LimitAge == 0 {
+// applyLimit records a limit that another daemon received, if it is newer than the known one.
+func (re *Register) applyLimit(nt Word, now time.Time) {
+	if nt.LimitAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if re.endpoints[wo.Life.ID] == nil && !wo.Limit.Named {
+	if re.endpoints[nt.Life.ID] == nil && !nt.Limit.Named {
 		return
 	}
-	ep := re.life(wo.Life)
+	ep := re.ensure(nt.Life)
 	if ep == nil {
 		return
 	}
-	at := now.Add(-wo.LimitAge)
-	if wo.Limit == ep.limit {
-		at = at.Add(-echoSlack)
+	at := now.Add(-nt.LimitAge)
+	if nt.Limit == ep.limit {
+		at = at.Add(-echoTolerance)
 	}
-	if at.After(ep.limitAt) && ep.setLimit(wo.Limit, at, now) {
-		ep.heard = false
+	if at.After(ep.limitAsOf) && ep.setLimit(nt.Limit, at, now) {
+		ep.firstHand = false
 	}
 }
 
-func (re *Register) hearShed(wo Word, now time.Time) {
-	if wo.ShedAge == 0 {
+// applyShed records a refusal or acceptance that another daemon received, if it is newer than the
+// known one.
+func (re *Register) applyShed(nt Word, now time.Time) {
+	if nt.ShedAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ep := re.life(wo.Life)
+	ep := re.ensure(nt.Life)
 	if ep == nil {
 		return
 	}
-	at := now.Add(-wo.ShedAge)
-	if wo.Shed == ep.shedUntil.Sub(ep.shedAt) {
-		at = at.Add(-echoSlack)
+	at := now.Add(-nt.ShedAge)
+	if nt.Shed == ep.shedUntil.Sub(ep.shedAt) {
+		at = at.Add(-echoTolerance)
 	}
-	if ep.setShed(at, wo.Shed) {
-		ep.due, ep.heard = true, false
+	if ep.setShed(at, nt.Shed) {
+		ep.pending, ep.firstHand = true, false
 	}
 }
