--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine knows requests again by their content, and decides which of them
-// end the servers that run them and are sent to no more.
+// Package quarantine identifies requests by their content and quarantines those that crash the
+// servers that run them. A quarantined request is not sent to any server.
 package quarantine
 
 import (
@@ -9,23 +9,25 @@
 	"errors"
 )
 
-// Fingerprint tells requests apart by their content: attempts of the same request have
-// the same one, whatever their identifiers.
+// Fingerprint identifies a request by its content. All attempts of a request have the same
+// fingerprint, whatever their request identifiers.
 type Fingerprint [16]byte
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint as 32 hexadecimal digits.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
 
-// Content is what the server that runs a request is given by its caller.
+// Content is the part of a request that determines its fingerprint: what the caller sends to the
+// server that runs the request.
 type Content struct {
 	Method, Host, URI string
-	// Caller is whom the request is from.
+	// Caller identifies the sender of the request.
 	Caller string
 	Body   []byte
 }
 
-// Fingerprint returns the content's. A caller must not be able to make a request that is
-// taken for another caller's, so it is a cryptographic digest over parts of known length.
+// Fingerprint returns the fingerprint of the content. It is a cryptographic digest of
+// length-prefixed parts, so that a caller cannot construct a request with the same fingerprint as
+// a request of another caller.
 func (co *Content) Fingerprint() Fingerprint {
 	sum := sha256.New()
 	for _, part := range [][]byte{[]byte(co.Method), []byte(co.Host), []byte(co.URI), []byte(co.Caller), co.Body} {
@@ -40,7 +42,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (fp Fingerprint) MarshalText() ([]byte, error) { return []byte(fp.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It expects 32 hexadecimal digits.
 func (fp *Fingerprint) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil {
@@ -53,4 +55,5 @@
 	return nil
 }
 
-var errLength = errors.New("quarantine: a fingerprint has 32 hexadecimal digits")
+// errLength is returned for a text that is not 16 bytes in hexadecimal digits.
+var errLength = errors.New("quarantine: invalid fingerprint length, want 32 hexadecimal digits")
--- a/internal/core/quarantine/fingerprint_test.go
+++ b/internal/core/quarantine/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A caller sends a request again under another identifier, to another daemon. It must be
-// known again, and no other request must be taken for it: that one would be refused.
+// Guards against a retried request that is not recognized under another identifier or at another
+// daemon, and against a different request with the same fingerprint, which would be refused.
 func TestFingerprint(t *testing.T) {
 	base := Content{Method: "POST", Host: "models.example", URI: "/draft/1", Caller: "nursery", Body: []byte("question")}
 	change := func(fn func(*Content)) Content {
@@ -27,7 +27,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			if same := tc.co.Fingerprint() == base.Fingerprint(); same != tc.same {
-				t.Errorf("same: %v, want %v", same, tc.same)
+				t.Errorf("same fingerprint: %v, want %v", same, tc.same)
 			}
 		})
 	}
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -12,101 +12,109 @@
 )
 
 const (
-	// Limit is how many servers must have ended under a request for it to be quarantined.
-	// Under one end all requests of the server break off, and hardly one that is there by
-	// chance meets three.
-	Limit = 3
-	// HoldFor is how long a quarantined request is sent to no server. A request that ends
-	// servers does so until their software is mended.
-	HoldFor = 24 * time.Hour
-	// suspectFor is how long ends count after the request's last one.
-	suspectFor = 15 * time.Minute
-	// sameEnd is the time within which several daemons tell of the same end of a server,
-	// which takes longer than that to be back.
-	sameEnd = time.Second
-	// maxRequests bounds the requests that are remembered: some 1 MB.
-	maxRequests = 4096
+	// CrashThreshold is the number of server crashes during a request that puts it in quarantine.
+	// A crash interrupts all requests of the server; an unrelated request is unlikely to be
+	// present at three crashes.
+	CrashThreshold = 3
+	// TTL is how long a request stays in quarantine. A request that crashes servers does so until
+	// their software is fixed.
+	TTL = 24 * time.Hour
+	// suspectTTL is how long the record of a request that was never quarantined is kept after its
+	// last update.
+	suspectTTL = 15 * time.Minute
+	// duplicateWindow is the time within which reports of a crash of the same endpoint are taken
+	// as the same crash. Several daemons report each crash, and a server takes longer than this
+	// to restart.
+	duplicateWindow = time.Second
+	// maxRecords bounds the number of requests with a record, at about 1 MB of memory.
+	maxRecords = 4096
 )
 
-// End is the end of a server's process with the requests that it had.
+// End is a crash of a server process, with the requests that it was running.
 type End struct {
 	Endpoint string `cbor:"1,keyasint"`
-	// AtMillis is when it was noticed, in milliseconds of Unix time.
+	// AtMillis is when the crash was detected, in milliseconds of Unix time.
 	AtMillis int64         `cbor:"2,keyasint"`
 	Requests []Fingerprint `cbor:"3,keyasint"`
 }
 
-// Answered is a request that a server has answered whole, and outlived.
+// Answered is the completion of a request: a server has sent the complete response and
+// survived it.
 type Answered struct {
 	Request Fingerprint `cbor:"1,keyasint"`
-	// AtMillis is when it was answered, in milliseconds of Unix time.
+	// AtMillis is when the request completed, in milliseconds of Unix time.
 	AtMillis int64 `cbor:"2,keyasint"`
 }
 
-// Entry is a request that was quarantined.
+// Entry is a request that was quarantined, as daemons exchange it and the store keeps it.
 type Entry struct {
 	Request Fingerprint `json:"request"`
-	// Since is when the last server ended that it took.
+	// Since is the time of the latest crash that put the request in quarantine.
 	Since time.Time `json:"since"`
-	// Answered is when it was last answered whole; it counts no more if that is later.
+	// Answered is when the request last completed, or zero. If it is not before Since, the request
+	// is no longer quarantined.
 	Answered time.Time `json:"answered,omitzero"`
 }
 
-// Ledger remembers under which requests servers ended, by what this daemon and others have
-// seen. What it learns may come in any order and more than once. It may be used from
-// several goroutines.
+// Ledger records the server crashes during each request, as this daemon and others detect them.
+// Crashes and completions may be reported in any order and more than once. The zero value is an
+// empty ledger. A Ledger is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	requests map[Fingerprint]*record
-	// quarantined are those of the requests that were, also if they were answered since.
+	// quarantined holds the records of requests that were ever quarantined, including those that
+	// have completed since.
 	quarantined map[Fingerprint]*record
-	// num is the number of requests, so that nothing is locked while there are none.
+	// num is len(requests). Readers check it first, to avoid the lock while there are none.
 	num atomic.Int64
 }
 
-// record is what is known of one request.
+// record is the state of one request.
 type record struct {
-	ends []serverEnd
-	// answered is when it was last answered whole: ends before that were not its work.
-	answered time.Time
-	// heldSince is when it was quarantined; zero before.
-	heldSince time.Time
-	// seen is when something was last learnt of it.
-	seen time.Time
+	crashes []serverCrash
+	// completedAt is when the request last completed. Crashes before that are not attributed to
+	// it.
+	completedAt time.Time
+	// quarantinedAt is the time of the latest crash that put the request in quarantine; zero if it
+	// never was.
+	quarantinedAt time.Time
+	// updatedAt is when the record was last updated.
+	updatedAt time.Time
 }
 
-type serverEnd struct {
+// serverCrash is one crash of the server at an endpoint.
+type serverCrash struct {
 	endpoint string
 	at       time.Time
 }
 
-// counts is how many servers ended under it since it was last answered.
-func (re *record) counts() int {
+// crashesSinceCompletion returns the number of crashes since the request last completed.
+func (re *record) crashesSinceCompletion() int {
 	num := 0
-	for _, se := range re.ends {
-		if se.at.After(re.answered) {
+	for _, se := range re.crashes {
+		if se.at.After(re.completedAt) {
 			num++
 		}
 	}
 	return num
 }
 
-// held tells whether it is quarantined.
-func (re *record) held(now time.Time) bool {
-	return re.heldSince.After(re.answered) && now.Sub(re.heldSince) < HoldFor
+// quarantined reports whether the request is in quarantine.
+func (re *record) quarantined(now time.Time) bool {
+	return re.quarantinedAt.After(re.completedAt) && now.Sub(re.quarantinedAt) < TTL
 }
 
-// add notes an end, unless it was told of before.
-func (re *record) add(se serverEnd) {
-	same := func(other serverEnd) bool {
-		return other.endpoint == se.endpoint && other.at.Sub(se.at).Abs() < sameEnd
+// addCrash records a crash, unless it is a duplicate of a recorded one.
+func (re *record) addCrash(se serverCrash) {
+	same := func(other serverCrash) bool {
+		return other.endpoint == se.endpoint && other.at.Sub(se.at).Abs() < duplicateWindow
 	}
-	if !slices.ContainsFunc(re.ends, same) {
-		re.ends = append(re.ends, se)
+	if !slices.ContainsFunc(re.crashes, same) {
+		re.crashes = append(re.crashes, se)
 	}
 }
 
-// Ended takes in the end of a server, and returns the requests that are quarantined by it.
+// Ended records a server crash, and returns the requests that are newly quarantined by it.
 func (le *Ledger) Ended(en End, now time.Time) []Fingerprint {
 	le.mu.Lock()
 	defer le.mu.Unlock()
@@ -114,38 +122,38 @@
 	var quarantined []Fingerprint
 	for _, fp := range en.Requests {
 		re := le.record(fp, now)
-		re.add(serverEnd{en.Endpoint, at})
-		if re.counts() < Limit {
+		re.addCrash(serverCrash{en.Endpoint, at})
+		if re.crashesSinceCompletion() < CrashThreshold {
 			continue
 		}
-		if le.hold(fp, re, at, now) {
+		if le.quarantine(fp, re, at, now) {
 			quarantined = append(quarantined, fp)
 		}
 	}
 	return quarantined
 }
 
-// hold quarantines a request from a time on, and tells whether it was not quarantined yet
-// and is now.
-func (le *Ledger) hold(fp Fingerprint, re *record, since, now time.Time) bool {
-	was := re.held(now)
-	re.heldSince = later(re.heldSince, since)
+// quarantine puts a request in quarantine as of since, and reports whether the request is newly
+// quarantined.
+func (le *Ledger) quarantine(fp Fingerprint, re *record, since, now time.Time) bool {
+	before := re.quarantined(now)
+	re.quarantinedAt = latest(re.quarantinedAt, since)
 	if le.quarantined == nil {
 		le.quarantined = make(map[Fingerprint]*record)
 	}
 	le.quarantined[fp] = re
-	return !was && re.held(now)
+	return !before && re.quarantined(now)
 }
 
-// Answered takes in that a request was answered whole.
+// Answered records the completion of a request.
 func (le *Ledger) Answered(an Answered, now time.Time) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	re := le.record(an.Request, now)
-	re.answered = later(re.answered, time.UnixMilli(an.AtMillis))
+	re.completedAt = latest(re.completedAt, time.UnixMilli(an.AtMillis))
 }
 
-// Suspected tells whether servers ended under a request that was not answered whole since.
+// Suspected reports whether a server has crashed during the request since it last completed.
 func (le *Ledger) Suspected(fp Fingerprint) bool {
 	if le.num.Load() == 0 {
 		return false
@@ -153,10 +161,10 @@
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	re := le.requests[fp]
-	return re != nil && re.counts() > 0
+	return re != nil && re.crashesSinceCompletion() > 0
 }
 
-// Held returns for how long a request is quarantined still, and whether it is.
+// Held returns the remaining time of a request in quarantine, and whether it is quarantined.
 func (le *Ledger) Held(fp Fingerprint, now time.Time) (time.Duration, bool) {
 	if le.num.Load() == 0 {
 		return 0, false
@@ -164,48 +172,49 @@
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	re := le.requests[fp]
-	if re == nil || !re.held(now) {
+	if re == nil || !re.quarantined(now) {
 		return 0, false
 	}
-	return HoldFor - now.Sub(re.heldSince), true
+	return TTL - now.Sub(re.quarantinedAt), true
 }
 
-// Entries returns the requests that were quarantined, in a fixed order, also those that
-// were answered since.
+// Entries returns the requests that were quarantined within the last TTL, including those that
+// have completed since, in order of their fingerprints.
 func (le *Ledger) Entries(now time.Time) []Entry {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	var entries []Entry
 	for fp, re := range le.quarantined {
-		if now.Sub(re.heldSince) < HoldFor {
-			entries = append(entries, Entry{fp, re.heldSince, re.answered})
+		if now.Sub(re.quarantinedAt) < TTL {
+			entries = append(entries, Entry{fp, re.quarantinedAt, re.completedAt})
 		}
 	}
 	slices.SortFunc(entries, func(one, two Entry) int { return slices.Compare(one.Request[:], two.Request[:]) })
 	return entries
 }
 
-// Merge takes in what another daemon or the store knows, and returns the requests that are
-// quarantined by it.
+// Merge adds the entries of another daemon or of the store, and returns the requests that are newly
+// quarantined by them.
 func (le *Ledger) Merge(entries []Entry, now time.Time) []Fingerprint {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	var quarantined []Fingerprint
 	for _, en := range entries {
-		if now.Sub(en.Since) >= HoldFor {
+		if now.Sub(en.Since) >= TTL {
 			continue
 		}
 		re := le.record(en.Request, now)
-		re.answered = later(re.answered, en.Answered)
-		if le.hold(en.Request, re, en.Since, now) {
+		re.completedAt = latest(re.completedAt, en.Answered)
+		if le.quarantine(en.Request, re, en.Since, now) {
 			quarantined = append(quarantined, en.Request)
 		}
 	}
 	return quarantined
 }
 
-// Digest differs between ledgers that don't know the same of quarantined requests; it is 0
-// for one that never held any.
+// Digest returns a digest of the quarantined requests and of whether each has completed since.
+// Daemons compare digests to detect that their ledgers differ. It is 0 if no request was
+// quarantined within the last TTL.
 func (le *Ledger) Digest(now time.Time) uint64 {
 	if le.num.Load() == 0 {
 		return 0
@@ -214,11 +223,11 @@
 	defer le.mu.Unlock()
 	var digest uint64
 	for fp, re := range le.quarantined {
-		if now.Sub(re.heldSince) >= HoldFor {
+		if now.Sub(re.quarantinedAt) >= TTL {
 			continue
 		}
 		text := fp.String()
-		if !re.held(now) {
+		if !re.quarantined(now) {
 			text += " answered"
 		}
 		digest ^= xxhash.Sum64String(text)
@@ -226,7 +235,7 @@
 	return digest
 }
 
-// Sweep forgets what counts no more.
+// Sweep deletes expired records.
 func (le *Ledger) Sweep(now time.Time) {
 	if le.num.Load() == 0 {
 		return
@@ -234,65 +243,71 @@
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	for fp, re := range le.requests {
-		if re.over(now) {
-			le.forget(fp)
+		if re.expired(now) {
+			le.remove(fp)
 		}
 	}
 }
 
-// over tells whether a request counts no more.
-func (re *record) over(now time.Time) bool {
-	if re.heldSince.IsZero() {
-		return now.Sub(re.seen) >= suspectFor
+// expired reports whether the record can be deleted: TTL after the request was quarantined, or
+// suspectTTL after the last update of one that never was.
+func (re *record) expired(now time.Time) bool {
+	if re.quarantinedAt.IsZero() {
+		return now.Sub(re.updatedAt) >= suspectTTL
 	}
-	return now.Sub(re.heldSince) >= HoldFor
+	return now.Sub(re.quarantinedAt) >= TTL
 }
 
-func (le *Ledger) forget(fp Fingerprint) {
+// remove deletes the record of a request.
+func (le *Ledger) remove(fp Fingerprint) {
 	delete(le.requests, fp)
 	delete(le.quarantined, fp)
 	le.num.Store(int64(len(le.requests)))
 }
 
-// record returns a request's record, made anew if there is none.
+// record returns the record of a request, and creates it if there is none. At the limit of
+// maxRecords, a new record replaces an old one.
 func (le *Ledger) record(fp Fingerprint, now time.Time) *record {
 	if le.requests == nil {
 		le.requests = make(map[Fingerprint]*record)
 	}
 	re := le.requests[fp]
 	if re == nil {
-		if len(le.requests) >= maxRequests {
-			le.forgetOldest()
+		if len(le.requests) >= maxRecords {
+			le.evictOldest()
 		}
 		re = &record{}
 		le.requests[fp] = re
 		le.num.Store(int64(len(le.requests)))
 	}
-	re.seen = now
+	re.updatedAt = now
 	return re
 }
 
-// forgetOldest makes room for a request: those go first that are not quarantined.
-func (le *Ledger) forgetOldest() {
+// evictOldest deletes the least recently updated record, preferably one of a request that was never
+// quarantined.
+func (le *Ledger) evictOldest() {
 	order := func(one, two Fingerprint) int {
 		first, second := le.requests[one], le.requests[two]
-		if byHold := cmp.Compare(rank(first), rank(second)); byHold != 0 {
-			return byHold
+		if byRank := cmp.Compare(evictionRank(first), evictionRank(second)); byRank != 0 {
+			return byRank
 		}
-		return first.seen.Compare(second.seen)
+		return first.updatedAt.Compare(second.updatedAt)
 	}
-	le.forget(slices.MinFunc(slices.Collect(maps.Keys(le.requests)), order))
+	le.remove(slices.MinFunc(slices.Collect(maps.Keys(le.requests)), order))
 }
 
-// rank is 1 for a request that was quarantined and 0 for one that is suspected.
-func rank(re *record) int {
-	if re.heldSince.IsZero() {
+// evictionRank returns 1 for a request that was quarantined and 0 for one that is only suspected.
+// Lower ranks are evicted first.
+func evictionRank(re *record) int {
+	if re.quarantinedAt.IsZero() {
 		return 0
 	}
 	return 1
 }
 
-func later(one, two time.Time) time.Time {
+// latest returns the later of two times.
+func latest(one, two time.Time) time.Time {
 	if two.After(one) {
 		return two
 	}
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -9,140 +9,144 @@
 	"pgregory.net/rapid"
 )
 
+// begin is the start time of all tests.
 var begin = time.Unix(1_000_000, 0)
 
-// request is the fingerprint of a request of that name.
-func request(name string) Fingerprint {
+// fingerprint returns the fingerprint of the request with the given name.
+func fingerprint(name string) Fingerprint {
 	co := Content{Body: []byte(name)}
 	return co.Fingerprint()
 }
 
-// end is that of a server some time after the beginning, under requests of these names.
-func end(endpoint string, after time.Duration, names ...string) End {
+// crash returns a crash of the endpoint at a time after begin, during the requests with the given
+// names.
+func crash(endpoint string, after time.Duration, names ...string) End {
 	en := End{Endpoint: endpoint, AtMillis: begin.Add(after).UnixMilli()}
 	for _, name := range names {
-		en.Requests = append(en.Requests, request(name))
+		en.Requests = append(en.Requests, fingerprint(name))
 	}
 	return en
 }
 
-func answered(name string, after time.Duration) Answered {
-	return Answered{request(name), begin.Add(after).UnixMilli()}
+// completion returns a completion of the named request at a time after begin.
+func completion(name string, after time.Duration) Answered {
+	return Answered{fingerprint(name), begin.Add(after).UnixMilli()}
 }
 
-// One request ends each server that it comes to, and others are with it there by chance.
-// It must be refused from the third server on, and the others must not be.
+// Guards against a request that keeps crashing servers: it must be quarantined after the third
+// crash. Unrelated requests on the same servers must not be.
 func TestLedger(t *testing.T) {
 	const now = 10 * time.Second
 	tests := []struct {
 		name string
-		// notes are ends and answers, as they come in.
-		notes []any
-		want  bool
+		// events are crashes and completions, in order of arrival.
+		events []any
+		want   bool
 	}{
-		{"three servers", []any{end("s1", 0, "crash", "other"), end("s2", time.Second, "crash"), end("s3", 2*time.Second, "crash")}, true},
-		{"two servers", []any{end("s1", 0, "crash"), end("s2", time.Second, "crash")}, false},
-		{"one server, told by three daemons", []any{end("s1", 0, "crash"), end("s1", 30*time.Millisecond, "crash"), end("s1", 90*time.Millisecond, "crash")}, false},
-		{"one server three times, under its old identifier", []any{end("s1", 0, "crash"), end("s1", 3*time.Second, "crash"), end("s1", 6*time.Second, "crash")}, true},
-		{"answered whole between", []any{end("s1", 0, "crash"), end("s2", time.Second, "crash"), answered("crash", 2*time.Second), end("s3", 3*time.Second, "crash")}, false},
-		{"answered whole before", []any{answered("crash", 0), end("s1", time.Second, "crash"), end("s2", 2*time.Second, "crash"), end("s3", 3*time.Second, "crash")}, true},
-		{"answered whole after", []any{end("s1", 0, "crash"), end("s2", time.Second, "crash"), end("s3", 2*time.Second, "crash"), answered("crash", 3*time.Second)}, false},
-		{"told in another order", []any{end("s3", 2*time.Second, "crash"), end("s1", 0, "crash"), end("s2", time.Second, "crash")}, true},
+		{"three servers", []any{crash("s1", 0, "crash", "other"), crash("s2", time.Second, "crash"), crash("s3", 2*time.Second, "crash")}, true},
+		{"two servers", []any{crash("s1", 0, "crash"), crash("s2", time.Second, "crash")}, false},
+		{"one server, told by three daemons", []any{crash("s1", 0, "crash"), crash("s1", 30*time.Millisecond, "crash"), crash("s1", 90*time.Millisecond, "crash")}, false},
+		{"one server three times, under its old identifier", []any{crash("s1", 0, "crash"), crash("s1", 3*time.Second, "crash"), crash("s1", 6*time.Second, "crash")}, true},
+		{"answered whole between", []any{crash("s1", 0, "crash"), crash("s2", time.Second, "crash"), completion("crash", 2*time.Second), crash("s3", 3*time.Second, "crash")}, false},
+		{"answered whole before", []any{completion("crash", 0), crash("s1", time.Second, "crash"), crash("s2", 2*time.Second, "crash"), crash("s3", 3*time.Second, "crash")}, true},
+		{"answered whole after", []any{crash("s1", 0, "crash"), crash("s2", time.Second, "crash"), crash("s3", 2*time.Second, "crash"), completion("crash", 3*time.Second)}, false},
+		{"told in another order", []any{crash("s3", 2*time.Second, "crash"), crash("s1", 0, "crash"), crash("s2", time.Second, "crash")}, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			le := &Ledger{}
-			for _, note := range tc.notes {
-				le.take(note, begin.Add(now))
+			for _, ev := range tc.events {
+				le.apply(ev, begin.Add(now))
 			}
-			if _, held := le.Held(request("crash"), begin.Add(now)); held != tc.want {
-				t.Errorf("held: %v, want %v", held, tc.want)
+			if _, quarantined := le.Held(fingerprint("crash"), begin.Add(now)); quarantined != tc.want {
+				t.Errorf("quarantined: %v, want %v", quarantined, tc.want)
 			}
-			if _, held := le.Held(request("other"), begin.Add(now)); held {
-				t.Error("a request is held that was there by chance")
+			if _, quarantined := le.Held(fingerprint("other"), begin.Add(now)); quarantined {
+				t.Error("unrelated request is quarantined")
 			}
 		})
 	}
 }
 
-// take takes in an end or an answer.
-func (le *Ledger) take(note any, now time.Time) {
-	switch no := note.(type) {
+// apply records a crash or a completion.
+func (le *Ledger) apply(event any, now time.Time) {
+	switch ev := event.(type) {
 	case End:
-		le.Ended(no, now)
+		le.Ended(ev, now)
 	case Answered:
-		le.Answered(no, now)
+		le.Answered(ev, now)
 	}
 }
 
-// The servers' software was mended. A request that was quarantined is tried again after a
-// day, and not before.
-func TestQuarantineEnds(t *testing.T) {
+// Guards against a quarantine that never ends or ends early: once the software of the servers is
+// fixed, a quarantined request must run again, after TTL and not before.
+func TestQuarantineExpires(t *testing.T) {
 	le := &Ledger{}
-	for i := range Limit {
-		le.Ended(end(fmt.Sprint("s", i), 0, "crash"), begin)
+	for i := range CrashThreshold {
+		le.Ended(crash(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
 	for _, tc := range []struct {
-		after time.Duration
-		left  time.Duration
-	}{{0, HoldFor}, {time.Hour, HoldFor - time.Hour}, {HoldFor, 0}} {
+		after     time.Duration
+		remaining time.Duration
+	}{{0, TTL}, {time.Hour, TTL - time.Hour}, {TTL, 0}} {
 		le.Sweep(begin.Add(tc.after))
-		left, held := le.Held(request("crash"), begin.Add(tc.after))
-		if left != tc.left || held != (tc.left > 0) {
-			t.Errorf("after %v: held %v for %v, want %v", tc.after, held, left, tc.left)
+		remaining, quarantined := le.Held(fingerprint("crash"), begin.Add(tc.after))
+		if remaining != tc.remaining || quarantined != (tc.remaining > 0) {
+			t.Errorf("after %v: quarantined %v, remaining %v, want %v", tc.after, quarantined, remaining, tc.remaining)
 		}
 	}
 	if le.num.Load() != 0 {
-		t.Error("a request is remembered that counts no more")
+		t.Error("expired record not deleted")
 	}
 }
 
-// Requests are suspected by the thousand while servers end for other reasons. What is
-// quarantined must not be forgotten for them.
+// Guards against the eviction of quarantined requests: when servers crash for unrelated reasons,
+// thousands of requests are suspected and compete for the bounded number of records.
 func TestLedgerIsBounded(t *testing.T) {
 	le := &Ledger{}
-	for i := range Limit {
-		le.Ended(end(fmt.Sprint("s", i), 0, "crash"), begin)
+	for i := range CrashThreshold {
+		le.Ended(crash(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
-	for i := range maxRequests + 10 {
-		le.Ended(end(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
+	for i := range maxRecords + 10 {
+		le.Ended(crash(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
 	}
-	if num := len(le.requests); num > maxRequests {
-		t.Errorf("%d requests are remembered", num)
+	if num := len(le.requests); num > maxRecords {
+		t.Errorf("%d records, want at most maxRecords", num)
 	}
-	if _, held := le.Held(request("crash"), begin.Add(time.Minute)); !held {
-		t.Error("a quarantined request is forgotten")
+	if _, quarantined := le.Held(fingerprint("crash"), begin.Add(time.Minute)); !quarantined {
+		t.Error("quarantined request was evicted")
 	}
 }
 
-// Daemons hear of ends and answers in different orders, some of them twice, some not at
-// all. Once they have told each other their entries, they must refuse the same requests,
-// and see by their digests that they do.
+// Guards against daemons that disagree on the quarantined requests. Each daemon receives crashes
+// and completions in a different order, some of them twice or not at all. After the daemons have
+// exchanged entries, their entries and digests must be equal. rapid finds the saved failure in
+// testdata by the name of this test.
 func TestLedgersAgree(t *testing.T) {
 	names := []string{"one", "two", "three"}
 	rapid.Check(t, func(rt *rapid.T) {
 		now := begin.Add(time.Minute)
-		var notes []any
+		var events []any
 		for range rapid.IntRange(1, 20).Draw(rt, "notes") {
 			name := rapid.SampledFrom(names).Draw(rt, "request")
 			after := time.Duration(rapid.IntRange(0, 50).Draw(rt, "after")) * time.Second
 			if rapid.Bool().Draw(rt, "answered") {
-				notes = append(notes, answered(name, after))
+				events = append(events, completion(name, after))
 				continue
 			}
-			notes = append(notes, end(rapid.StringMatching("s[0-9]").Draw(rt, "endpoint"), after, name))
+			events = append(events, crash(rapid.StringMatching("s[0-9]").Draw(rt, "endpoint"), after, name))
 		}
 		ledgers := make([]*Ledger, 3)
 		for i := range ledgers {
 			ledgers[i] = &Ledger{}
-			for _, note := range rapid.Permutation(notes).Draw(rt, "order") {
+			for _, ev := range rapid.Permutation(events).Draw(rt, "order") {
 				for range rapid.IntRange(0, 2).Draw(rt, "times") {
-					ledgers[i].take(note, now)
+					ledgers[i].apply(ev, now)
 				}
 			}
 		}
-		// What one knows takes two turns to come round, and an answer is told only by those
-		// that know of the quarantine.
+		// An entry takes two rounds to reach every ledger, and a completion is passed on only by
+		// a ledger in which the request was quarantined.
 		for range 4 {
 			for i, le := range ledgers {
 				le.Merge(ledgers[(i+1)%len(ledgers)].Entries(now), now)
