--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -156,22 +156,22 @@
 
 // send sends a request from the daemon if its register permits it, and schedules the response.
 func (si *sim) send(da *simDaemon) {
-	if !da.reg.Takes(limitedInstance, si.now()) {
+	if !da.reg.Accepts(limitedInstance, si.now()) {
 		return
 	}
-	da.reg.Sent(limitedInstance, si.now())
+	da.reg.RecordSent(limitedInstance, si.now())
 	si.sent++
 	if da.counts(si.at) {
 		si.arrivals = append(si.arrivals, si.at)
 	}
 	if si.shedFraction != nil && si.rd.Float64() < si.shedFraction(si.at) {
 		si.refused++
-		si.schedule(refusalDelay, func() { da.reg.SetRest(limitedInstance, retryAfter, si.now()) })
+		si.schedule(refusalDelay, func() { da.reg.SetRetryAfter(limitedInstance, retryAfter, si.now()) })
 		return
 	}
 	reg, sent, limit := da.reg, si.now(), si.limit(si.at)
 	si.schedule(responseDelay, func() {
-		reg.SetTaken(limitedInstance, sent, si.now())
+		reg.SetAccepted(limitedInstance, sent, si.now())
 		reg.SetLimit(limitedInstance, limit, sent, si.now())
 		if limit.Named && reg == da.reg && da.limitKnownAt == 0 {
 			da.limitKnownAt = si.at
@@ -182,14 +182,14 @@
 // sendNotices delivers the pending notices of each daemon to all others, as a steward relays them.
 func (si *sim) sendNotices() {
 	for _, da := range si.daemons {
-		notices := da.reg.Tell(si.now(), heartbeatInterval, false)
+		notices := da.reg.PendingNotices(si.now(), heartbeatInterval, false)
 		if len(notices) == 0 || da.partitioned || da.down {
 			continue
 		}
 		si.schedule(noticeDelay, func() {
 			for _, other := range si.daemons {
 				if other != da && !other.partitioned && !other.down {
-					other.reg.Hear(notices, si.now())
+					other.reg.ApplyNotices(notices, si.now())
 				}
 			}
 		})
@@ -348,22 +348,22 @@
 			re.SetLimit(limitedInstance, none, after(-time.Second), after(2*time.Second))
 		}, true},
 		{"another daemon's newer word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
 		}, false},
 		{"another daemon's older word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
 		}, true},
 		{"another daemon's word that says nothing of a limit", func(re *Register) {
 			other := &Register{}
-			other.SetRest(limitedInstance, 3*time.Second, after(time.Second))
-			re.Hear(other.Known(after(time.Second)), after(time.Second))
+			other.SetRetryAfter(limitedInstance, 3*time.Second, after(time.Second))
+			re.ApplyNotices(other.Notices(after(time.Second)), after(time.Second))
 			other.SetLeaving(limitedInstance, after(time.Second))
-			re.Hear(other.Known(after(2*time.Second)), after(2*time.Second))
+			re.ApplyNotices(other.Notices(after(2*time.Second)), after(2*time.Second))
 		}, true},
 		{"the process starts anew", func(re *Register) { re.SetLimit(next, none, after(time.Second), after(2*time.Second)) }, false},
 		{"a word of its earlier life", func(re *Register) {
 			re.SetLimit(next, limit, after(time.Second), after(2*time.Second))
-			re.Hear([]Word{{Life: limitedInstance, Limit: none, LimitAge: 1}}, after(3*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: 1}}, after(3*time.Second))
 		}, true},
 		{"not repeated for long", func(re *Register) { re.Sweep(after(retention + time.Second)) }, false},
 	}
@@ -397,31 +397,31 @@
 		if st.again {
 			re.SetLimit(limitedInstance, Limit{2, true}, at, at)
 		}
-		if got := len(re.Tell(at, span, false)); got != st.want {
+		if got := len(re.PendingNotices(at, span, false)); got != st.want {
 			t.Errorf("after %s: %d notices, want %d", st.at, got, st.want)
 		}
 	}
-	if num := len(re.Known(now.Add(5500 * time.Millisecond))); num != 1 {
+	if num := len(re.Notices(now.Add(5500 * time.Millisecond))); num != 1 {
 		t.Errorf("%d notices for a daemon that has just started, want 1", num)
 	}
-	re.Retell()
-	if num := len(re.Tell(now.Add(5500*time.Millisecond), span, false)); num != 1 {
+	re.ResendNotices()
+	if num := len(re.PendingNotices(now.Add(5500*time.Millisecond), span, false)); num != 1 {
 		t.Errorf("%d notices for a new steward, want 1", num)
 	}
 	re.SetLimit(limitedInstance, Limit{3, true}, now.Add(6*time.Second), now.Add(6*time.Second))
-	re.SetRest(limitedInstance, 20*time.Second, now.Add(6*time.Second))
-	re.Hear(re.Known(now.Add(6*time.Second)), now.Add(6100*time.Millisecond))
-	re.Tell(now.Add(7*time.Second), span, false)
-	re.Retell()
-	if num := len(re.Tell(now.Add(8*time.Second), span, false)); num != 1 {
+	re.SetRetryAfter(limitedInstance, 20*time.Second, now.Add(6*time.Second))
+	re.ApplyNotices(re.Notices(now.Add(6*time.Second)), now.Add(6100*time.Millisecond))
+	re.PendingNotices(now.Add(7*time.Second), span, false)
+	re.ResendNotices()
+	if num := len(re.PendingNotices(now.Add(8*time.Second), span, false)); num != 1 {
 		t.Errorf("%d first-hand notices after they were echoed back, want 1", num)
 	}
 	other := &Register{}
-	other.Hear([]Word{{Life: limitedInstance, Limit: Limit{2, true}, LimitAge: 1}}, now)
-	if num := len(other.Tell(now, span, false)); num != 0 {
+	other.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: Limit{2, true}, LimitAge: 1}}, now)
+	if num := len(other.PendingNotices(now, span, false)); num != 0 {
 		t.Errorf("%d notices of other daemons relayed without relay, want 0", num)
 	}
-	if num := len(other.Tell(now, span, true)); num != 1 {
+	if num := len(other.PendingNotices(now, span, true)); num != 1 {
 		t.Errorf("%d notices of other daemons relayed by the steward, want 1", num)
 	}
 }
@@ -440,10 +440,10 @@
 		{"announced in a response", func(re *Register) { re.SetLeaving(limitedInstance, now) }, map[catalog.Life]bool{limitedInstance: true, next: false}},
 		{"announced before the incarnation is known", func(re *Register) {
 			re.SetLeaving(unknown, now)
-			re.Takes(limitedInstance, now)
+			re.Accepts(limitedInstance, now)
 		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
 		{"notice from another daemon", func(re *Register) {
-			if num := len(re.Hear([]Word{{Life: limitedInstance, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
+			if num := len(re.ApplyNotices([]Notice{{Instance: limitedInstance, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
 				t.Errorf("%d endpoints with a new shutdown announcement, want 1", num)
 			}
 		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
@@ -461,7 +461,7 @@
 		re := &Register{}
 		tc.run(re)
 		for li, want := range tc.want {
-			if got := re.Leaving(li); got != want || re.Takes(li, now) == want {
+			if got := re.Leaving(li); got != want || re.Accepts(li, now) == want {
 				t.Errorf("%s: %v: leaving %v, want %v", tc.name, li, got, want)
 			}
 		}
--- a/internal/core/backpressure/register.go
+++ b/internal/core/backpressure/register.go
@@ -16,7 +16,8 @@
 
 // Register holds the last known backpressure state of each endpoint. It is safe for concurrent
 // use. The zero value is ready for use in a daemon that runs alone. On a nil Register, the
-// methods Takes, Sent, Opens, Leaving and Restricted treat every endpoint as unrestricted.
+// methods Accepts, RecordSent, WaitTime, Leaving and Restricted treat every endpoint as
+// unrestricted.
 type Register struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
@@ -59,9 +60,9 @@
 		now.Sub(ep.backoffUntil) > refusalWindow
 }
 
-// SetRest records that the endpoint refused a request and asked this daemon to send none for the
-// given time.
-func (re *Register) SetRest(li catalog.Life, retryAfter time.Duration, now time.Time) {
+// SetRetryAfter records that the endpoint refused a request and asked this daemon to send none for
+// the given time.
+func (re *Register) SetRetryAfter(li catalog.Life, retryAfter time.Duration, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.ensure(li)
@@ -86,8 +87,8 @@
 	}
 }
 
-// SetTaken records that the endpoint accepted a request. sent is when the request was sent.
-func (re *Register) SetTaken(li catalog.Life, sent, now time.Time) {
+// SetAccepted records that the endpoint accepted a request. sent is when the request was sent.
+func (re *Register) SetAccepted(li catalog.Life, sent, now time.Time) {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -183,8 +184,8 @@
 	return ep
 }
 
-// Takes reports whether this daemon may send a request to the endpoint now.
-func (re *Register) Takes(li catalog.Life, now time.Time) bool {
+// Accepts reports whether this daemon may send a request to the endpoint now.
+func (re *Register) Accepts(li catalog.Life, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return true
 	}
@@ -194,8 +195,9 @@
 	return ep == nil || ep.accepts(now, re.daemons.num())
 }
 
-// Sent deducts a request that is being sent to the endpoint from this daemon's share of its limit.
-func (re *Register) Sent(li catalog.Life, now time.Time) {
+// RecordSent deducts a request that is being sent to the endpoint from this daemon's share of its
+// limit.
+func (re *Register) RecordSent(li catalog.Life, now time.Time) {
 	if re == nil || re.num.Load() == 0 {
 		return
 	}
@@ -206,10 +208,10 @@
 	}
 }
 
-// Opens returns how long this daemon must wait before it may send a request to the endpoint. The
-// result is 0 or less if it may send now. The second value is false if no such time is known: the
-// endpoint is shutting down, or only other daemons send to it.
-func (re *Register) Opens(li catalog.Life, now time.Time) (time.Duration, bool) {
+// WaitTime returns how long this daemon must wait before it may send a request to the endpoint.
+// The result is 0 or less if it may send now. The second value is false if no such time is known:
+// the endpoint is shutting down, or only other daemons send to it.
+func (re *Register) WaitTime(li catalog.Life, now time.Time) (time.Duration, bool) {
 	if re == nil || re.num.Load() == 0 {
 		return 0, true
 	}
@@ -252,9 +254,9 @@
 	return ep != nil && ep.leaving
 }
 
-// Resting returns the number of endpoints to which this daemon sends nothing because it backs off
-// after a refusal.
-func (re *Register) Resting(now time.Time) int {
+// NumBackingOff returns the number of endpoints to which this daemon sends nothing because it backs
+// off after a refusal.
+func (re *Register) NumBackingOff(now time.Time) int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
--- a/internal/core/backpressure/word.go
+++ b/internal/core/backpressure/word.go
@@ -14,10 +14,10 @@
 // be applied. A daemon's own notices come back to it, and transit time distorts their ages.
 const echoTolerance = 500 * time.Millisecond
 
-// Word is a message between daemons with the state of one endpoint.
-type Word struct {
-	Life  catalog.Life `json:"life" cbor:"1,keyasint"`
-	Limit Limit        `json:"limit" cbor:"2,keyasint"`
+// Notice is a message between daemons with the state of one endpoint.
+type Notice struct {
+	Instance catalog.Life `json:"life" cbor:"1,keyasint"`
+	Limit    Limit        `json:"limit" cbor:"2,keyasint"`
 	// LimitAge is how long ago the limit, or its absence, was last known to be in force; 0 if the
 	// endpoint has never announced a limit. Notices carry ages instead of times because the
 	// clocks of the daemons differ.
@@ -44,17 +44,17 @@
 	sentAsOf time.Time
 }
 
-// Tell returns the notices to send to the other daemons now. A change is repeated in each call
-// for the given span, since messages may be lost, and a limit that the endpoint keeps announcing
-// is sent again every resendInterval. If relay is set, the result includes state that this daemon
-// received from others.
-func (re *Register) Tell(now time.Time, span time.Duration, relay bool) []Word {
+// PendingNotices returns the notices to send to the other daemons now. A change is repeated in each
+// call for the given span, since messages may be lost, and a limit that the endpoint keeps
+// announcing is sent again every resendInterval. If relay is set, the result includes state that
+// this daemon received from others.
+func (re *Register) PendingNotices(now time.Time, span time.Duration, relay bool) []Notice {
 	if re.num.Load() == 0 {
 		return nil
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var notices []Word
+	var notices []Notice
 	for id, ep := range re.endpoints {
 		if !ep.firstHand && !relay {
 			continue
@@ -70,8 +70,8 @@
 }
 
 // notice returns the notice with the current state of the endpoint.
-func (ep *endpoint) notice(li catalog.Life, now time.Time) Word {
-	nt := Word{Life: li, Limit: ep.limit, Leaving: ep.leaving}
+func (ep *endpoint) notice(li catalog.Life, now time.Time) Notice {
+	nt := Notice{Instance: li, Limit: ep.limit, Leaving: ep.leaving}
 	if !ep.limitAsOf.IsZero() {
 		nt.LimitAge = max(1, now.Sub(ep.limitAsOf))
 	}
@@ -85,20 +85,20 @@
 	return nt
 }
 
-// Known returns notices with the state of all endpoints, for a daemon that has just started.
-func (re *Register) Known(now time.Time) []Word {
+// Notices returns one notice for each known endpoint, for a daemon that has just started.
+func (re *Register) Notices(now time.Time) []Notice {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var notices []Word
+	var notices []Notice
 	for id, ep := range re.endpoints {
 		notices = append(notices, ep.notice(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
 	}
 	return notices
 }
 
-// Retell schedules all first-hand state to be sent to the other daemons again, as a new steward
-// may not have it.
-func (re *Register) Retell() {
+// ResendNotices schedules all first-hand state to be sent to the other daemons again, as a new
+// steward may not have it.
+func (re *Register) ResendNotices() {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -109,12 +109,12 @@
 	}
 }
 
-// Hear applies the notices of another daemon, and returns the endpoints whose shutdown was unknown
-// before.
-func (re *Register) Hear(notices []Word, now time.Time) (leaving []catalog.Life) {
+// ApplyNotices applies the notices of another daemon, and returns the endpoints whose shutdown was
+// unknown before.
+func (re *Register) ApplyNotices(notices []Notice, now time.Time) (leaving []catalog.Life) {
 	for _, nt := range notices {
 		if nt.Leaving && re.applyLeaving(nt, now) {
-			leaving = append(leaving, nt.Life)
+			leaving = append(leaving, nt.Instance)
 		}
 		re.applyLimit(nt, now)
 		re.applyShed(nt, now)
@@ -124,29 +124,29 @@
 
 // applyLeaving records a shutdown announcement that another daemon received, and reports whether
 // it was unknown before.
-func (re *Register) applyLeaving(nt Word, now time.Time) bool {
-	if !re.SetLeaving(nt.Life, now.Add(-nt.LeavingAge)) {
+func (re *Register) applyLeaving(nt Notice, now time.Time) bool {
+	if !re.SetLeaving(nt.Instance, now.Add(-nt.LeavingAge)) {
 		return false
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if ep := re.find(nt.Life); ep != nil {
+	if ep := re.find(nt.Instance); ep != nil {
 		ep.firstHand = false
 	}
 	return true
 }
 
 // applyLimit records a limit that another daemon received, if it is newer than the known one.
-func (re *Register) applyLimit(nt Word, now time.Time) {
+func (re *Register) applyLimit(nt Notice, now time.Time) {
 	if nt.LimitAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if re.endpoints[nt.Life.ID] == nil && !nt.Limit.Named {
+	if re.endpoints[nt.Instance.ID] == nil && !nt.Limit.Named {
 		return
 	}
-	ep := re.ensure(nt.Life)
+	ep := re.ensure(nt.Instance)
 	if ep == nil {
 		return
 	}
@@ -161,13 +161,13 @@
 
 // applyShed records a refusal or acceptance that another daemon received, if it is newer than the
 // known one.
-func (re *Register) applyShed(nt Word, now time.Time) {
+func (re *Register) applyShed(nt Notice, now time.Time) {
 	if nt.ShedAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ep := re.ensure(nt.Life)
+	ep := re.ensure(nt.Instance)
 	if ep == nil {
 		return
 	}
--- a/internal/core/dispatch/plain.go
+++ b/internal/core/dispatch/plain.go
@@ -85,7 +85,7 @@
 	var best *PlainEndpoint
 	var bestCost float64
 	for _, ep := range pl.services[service] {
-		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Takes(ep.Life(), now) {
+		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Accepts(ep.Life(), now) {
 			continue
 		}
 		if co := pl.cost(ep, now); best == nil || co < bestCost {
@@ -94,7 +94,7 @@
 	}
 	if best != nil {
 		best.open++
-		pl.Backpressure.Sent(best.Life(), now)
+		pl.Backpressure.RecordSent(best.Life(), now)
 	}
 	return best
 }
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -219,7 +219,7 @@
 	var cands []candidate
 	var levels []level
 	for _, gr := range ta.byName {
-		if !gr.takes(ne) || !ta.Backpressure.Takes(gr.head(), now) {
+		if !gr.takes(ne) || !ta.Backpressure.Accepts(gr.head(), now) {
 			continue
 		}
 		le, distance := ta.level(gr), ta.distance(gr)
@@ -285,7 +285,7 @@
 func opens(reg *backpressure.Register, lives []catalog.Life, now time.Time) time.Duration {
 	first := time.Duration(0)
 	for i, li := range lives {
-		wait, known := reg.Opens(li, now)
+		wait, known := reg.WaitTime(li, now)
 		switch {
 		case !known:
 			wait = againElsewhere
@@ -352,7 +352,7 @@
 
 func (ta *Table) begin(ca candidate, ne Need, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
-	ta.Backpressure.Sent(gr.head(), now)
+	ta.Backpressure.RecordSent(gr.head(), now)
 	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Reading: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.stated = ca.stated
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -30,17 +30,17 @@
 	maxRecords = 4096
 )
 
-// End is a crash of a server process, with the requests that it was running.
-type End struct {
+// Crash describes a crash of a server process, with the requests that it was running.
+type Crash struct {
 	Endpoint string `cbor:"1,keyasint"`
 	// AtMillis is when the crash was detected, in milliseconds of Unix time.
 	AtMillis int64         `cbor:"2,keyasint"`
 	Requests []Fingerprint `cbor:"3,keyasint"`
 }
 
-// Answered is the completion of a request: a server has sent the complete response and
+// Completion reports that a request has completed: a server has sent the complete response and
 // survived it.
-type Answered struct {
+type Completion struct {
 	Request Fingerprint `cbor:"1,keyasint"`
 	// AtMillis is when the request completed, in milliseconds of Unix time.
 	AtMillis int64 `cbor:"2,keyasint"`
@@ -51,9 +51,9 @@
 	Request Fingerprint `json:"request"`
 	// Since is the time of the latest crash that put the request in quarantine.
 	Since time.Time `json:"since"`
-	// Answered is when the request last completed, or zero. If it is not before Since, the request
-	// is no longer quarantined.
-	Answered time.Time `json:"answered,omitzero"`
+	// CompletedAt is when the request last completed, or zero. If it is not before Since, the
+	// request is no longer quarantined.
+	CompletedAt time.Time `json:"answered,omitzero"`
 }
 
 // Ledger records the server crashes during each request, as this daemon and others detect them.
@@ -114,8 +114,8 @@
 	}
 }
 
-// Ended records a server crash, and returns the requests that are newly quarantined by it.
-func (le *Ledger) Ended(en End, now time.Time) []Fingerprint {
+// RecordCrash records a server crash, and returns the requests that are newly quarantined by it.
+func (le *Ledger) RecordCrash(en Crash, now time.Time) []Fingerprint {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	at := time.UnixMilli(en.AtMillis)
@@ -145,8 +145,8 @@
 	return !before && re.quarantined(now)
 }
 
-// Answered records the completion of a request.
-func (le *Ledger) Answered(an Answered, now time.Time) {
+// RecordCompletion records the completion of a request.
+func (le *Ledger) RecordCompletion(an Completion, now time.Time) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	re := le.record(an.Request, now)
@@ -164,8 +164,8 @@
 	return re != nil && re.crashesSinceCompletion() > 0
 }
 
-// Held returns the remaining time of a request in quarantine, and whether it is quarantined.
-func (le *Ledger) Held(fp Fingerprint, now time.Time) (time.Duration, bool) {
+// Quarantined returns the remaining time of a request in quarantine, and whether it is quarantined.
+func (le *Ledger) Quarantined(fp Fingerprint, now time.Time) (time.Duration, bool) {
 	if le.num.Load() == 0 {
 		return 0, false
 	}
@@ -204,7 +204,7 @@
 			continue
 		}
 		re := le.record(en.Request, now)
-		re.completedAt = latest(re.completedAt, en.Answered)
+		re.completedAt = latest(re.completedAt, en.CompletedAt)
 		if le.quarantine(en.Request, re, en.Since, now) {
 			quarantined = append(quarantined, en.Request)
 		}
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -20,8 +20,8 @@
 
 // crash returns a crash of the endpoint at a time after begin, during the requests with the given
 // names.
-func crash(endpoint string, after time.Duration, names ...string) End {
-	en := End{Endpoint: endpoint, AtMillis: begin.Add(after).UnixMilli()}
+func crash(endpoint string, after time.Duration, names ...string) Crash {
+	en := Crash{Endpoint: endpoint, AtMillis: begin.Add(after).UnixMilli()}
 	for _, name := range names {
 		en.Requests = append(en.Requests, fingerprint(name))
 	}
@@ -29,8 +29,8 @@
 }
 
 // completion returns a completion of the named request at a time after begin.
-func completion(name string, after time.Duration) Answered {
-	return Answered{fingerprint(name), begin.Add(after).UnixMilli()}
+func completion(name string, after time.Duration) Completion {
+	return Completion{fingerprint(name), begin.Add(after).UnixMilli()}
 }
 
 // Guards against a request that keeps crashing servers: it must be quarantined after the third
@@ -58,10 +58,10 @@
 			for _, ev := range tc.events {
 				le.apply(ev, begin.Add(now))
 			}
-			if _, quarantined := le.Held(fingerprint("crash"), begin.Add(now)); quarantined != tc.want {
+			if _, quarantined := le.Quarantined(fingerprint("crash"), begin.Add(now)); quarantined != tc.want {
 				t.Errorf("quarantined: %v, want %v", quarantined, tc.want)
 			}
-			if _, quarantined := le.Held(fingerprint("other"), begin.Add(now)); quarantined {
+			if _, quarantined := le.Quarantined(fingerprint("other"), begin.Add(now)); quarantined {
 				t.Error("unrelated request is quarantined")
 			}
 		})
@@ -71,10 +71,10 @@
 // apply records a crash or a completion.
 func (le *Ledger) apply(event any, now time.Time) {
 	switch ev := event.(type) {
-	case End:
-		le.Ended(ev, now)
-	case Answered:
-		le.Answered(ev, now)
+	case Crash:
+		le.RecordCrash(ev, now)
+	case Completion:
+		le.RecordCompletion(ev, now)
 	}
 }
 
@@ -83,14 +83,14 @@
 func TestQuarantineExpires(t *testing.T) {
 	le := &Ledger{}
 	for i := range CrashThreshold {
-		le.Ended(crash(fmt.Sprint("s", i), 0, "crash"), begin)
+		le.RecordCrash(crash(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
 	for _, tc := range []struct {
 		after     time.Duration
 		remaining time.Duration
 	}{{0, TTL}, {time.Hour, TTL - time.Hour}, {TTL, 0}} {
 		le.Sweep(begin.Add(tc.after))
-		remaining, quarantined := le.Held(fingerprint("crash"), begin.Add(tc.after))
+		remaining, quarantined := le.Quarantined(fingerprint("crash"), begin.Add(tc.after))
 		if remaining != tc.remaining || quarantined != (tc.remaining > 0) {
 			t.Errorf("after %v: quarantined %v, remaining %v, want %v", tc.after, quarantined, remaining, tc.remaining)
 		}
@@ -105,15 +105,15 @@
 func TestLedgerIsBounded(t *testing.T) {
 	le := &Ledger{}
 	for i := range CrashThreshold {
-		le.Ended(crash(fmt.Sprint("s", i), 0, "crash"), begin)
+		le.RecordCrash(crash(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
 	for i := range maxRecords + 10 {
-		le.Ended(crash(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
+		le.RecordCrash(crash(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
 	}
 	if num := len(le.requests); num > maxRecords {
 		t.Errorf("%d records, want at most maxRecords", num)
 	}
-	if _, quarantined := le.Held(fingerprint("crash"), begin.Add(time.Minute)); !quarantined {
+	if _, quarantined := le.Quarantined(fingerprint("crash"), begin.Add(time.Minute)); !quarantined {
 		t.Error("quarantined request was evicted")
 	}
 }
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -280,7 +280,7 @@
 func (da *Daemon) peerCalls() http.Handler {
 	sv := &mesh.Server{View: da.view.Load, Daemons: da.mesh.Known,
 		Quarantine:   func() []quarantine.Entry { return da.quarantine.Entries(da.Clock.Now()) },
-		Backpressure: func() []backpressure.Word { return da.backpressure.Known(da.Clock.Now()) },
+		Backpressure: func() []backpressure.Notice { return da.backpressure.Notices(da.Clock.Now()) },
 		Config: func() ([]byte, int64) {
 			if co := da.config.Load(); co != nil {
 				return co.raw, co.Revision
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -41,7 +41,7 @@
 // hearRest takes in that the endpoint turned a request away, and for how long it wants none.
 func (sv *Server) hearRest(li catalog.Life, rsp *http.Response, sent time.Time) {
 	if !notRun(rsp) {
-		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
+		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
 	rest, err := platform.RestOf(rsp, sv.Clock.Now())
@@ -50,7 +50,7 @@
 	}
 	if rest > 0 {
 		restCount.Inc()
-		sv.Backpressure.SetRest(li, rest, sv.Clock.Now())
+		sv.Backpressure.SetRetryAfter(li, rest, sv.Clock.Now())
 		sv.Log.Info("front: endpoint asks for rest.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", rest.Milliseconds())
 	}
 }
