--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -35,7 +35,7 @@
 	retryAfter   = 3 * time.Second
 )
 
-var limitedInstance = catalog.Life{ID: "head-1", Incarnation: 7}
+var limitedInstance = catalog.Instance{ID: "head-1", Incarnation: 7}
 
 // sim simulates daemons whose demand for one endpoint exceeds its limit.
 type sim struct {
@@ -336,7 +336,7 @@
 	begin := time.Unix(100, 0)
 	after := func(span time.Duration) time.Time { return begin.Add(span) }
 	limit, none := Limit{2, true}, Limit{}
-	next := catalog.Life{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
+	next := catalog.Instance{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name  string
 		run   func(re *Register)
@@ -430,32 +430,32 @@
 // that a daemon drops while the process is still shutting down.
 func TestLeavingEndsWithIncarnation(t *testing.T) {
 	now := time.Unix(100, 0)
-	unknown := catalog.Life{ID: limitedInstance.ID}
-	next := catalog.Life{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
+	unknown := catalog.Instance{ID: limitedInstance.ID}
+	next := catalog.Instance{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name string
 		run  func(re *Register)
-		want map[catalog.Life]bool
+		want map[catalog.Instance]bool
 	}{
-		{"announced in a response", func(re *Register) { re.SetLeaving(limitedInstance, now) }, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		{"announced in a response", func(re *Register) { re.SetLeaving(limitedInstance, now) }, map[catalog.Instance]bool{limitedInstance: true, next: false}},
 		{"announced before the incarnation is known", func(re *Register) {
 			re.SetLeaving(unknown, now)
 			re.Accepts(limitedInstance, now)
-		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		}, map[catalog.Instance]bool{limitedInstance: true, next: false}},
 		{"notice from another daemon", func(re *Register) {
 			if num := len(re.ApplyNotices([]Notice{{Instance: limitedInstance, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
 				t.Errorf("%d endpoints with a new shutdown announcement, want 1", num)
 			}
-		}, map[catalog.Life]bool{limitedInstance: true, next: false}},
+		}, map[catalog.Instance]bool{limitedInstance: true, next: false}},
 		{"responses that do not repeat it", func(re *Register) {
 			re.SetLeaving(limitedInstance, now)
 			re.SetLimit(limitedInstance, Limit{}, now.Add(time.Second), now.Add(time.Second))
 			re.Sweep(now.Add(time.Minute))
-		}, map[catalog.Life]bool{limitedInstance: true}},
+		}, map[catalog.Instance]bool{limitedInstance: true}},
 		{"retention period over", func(re *Register) {
 			re.SetLeaving(limitedInstance, now)
 			re.Sweep(now.Add(retention + time.Second))
-		}, map[catalog.Life]bool{limitedInstance: false}},
+		}, map[catalog.Instance]bool{limitedInstance: false}},
 	}
 	for _, tc := range tests {
 		re := &Register{}
--- a/internal/core/backpressure/word.go
+++ b/internal/core/backpressure/word.go
@@ -16,7 +16,7 @@
 
 // Notice is a message between daemons with the state of one endpoint.
 type Notice struct {
-	Instance catalog.Life `json:"life" cbor:"1,keyasint"`
+	Instance catalog.Instance `json:"life" cbor:"1,keyasint"`
 	Limit    Limit        `json:"limit" cbor:"2,keyasint"`
 	// LimitAge is how long ago the limit, or its absence, was last known to be in force; 0 if the
 	// endpoint has never announced a limit. Notices carry ages instead of times because the
@@ -63,14 +63,14 @@
 			ep.pending, ep.sendUntil, ep.sentAsOf = false, now.Add(span), ep.limitAsOf
 		}
 		if now.Before(ep.sendUntil) {
-			notices = append(notices, ep.notice(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+			notices = append(notices, ep.notice(catalog.Instance{ID: id, Incarnation: ep.incarnation}, now))
 		}
 	}
 	return notices
 }
 
 // notice returns the notice with the current state of the endpoint.
-func (ep *endpoint) notice(li catalog.Life, now time.Time) Notice {
+func (ep *endpoint) notice(li catalog.Instance, now time.Time) Notice {
 	nt := Notice{Instance: li, Limit: ep.limit, Leaving: ep.leaving}
 	if !ep.limitAsOf.IsZero() {
 		nt.LimitAge = max(1, now.Sub(ep.limitAsOf))
@@ -91,7 +91,7 @@
 	defer re.mu.Unlock()
 	var notices []Notice
 	for id, ep := range re.endpoints {
-		notices = append(notices, ep.notice(catalog.Life{ID: id, Incarnation: ep.incarnation}, now))
+		notices = append(notices, ep.notice(catalog.Instance{ID: id, Incarnation: ep.incarnation}, now))
 	}
 	return notices
 }
@@ -111,7 +111,7 @@
 
 // ApplyNotices applies the notices of another daemon, and returns the endpoints whose shutdown was
 // unknown before.
-func (re *Register) ApplyNotices(notices []Notice, now time.Time) (leaving []catalog.Life) {
+func (re *Register) ApplyNotices(notices []Notice, now time.Time) (leaving []catalog.Instance) {
 	for _, nt := range notices {
 		if nt.Leaving && re.applyLeaving(nt, now) {
 			leaving = append(leaving, nt.Instance)
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -41,7 +41,7 @@
 }
 
 // head returns the life of the process that the group's requests are sent to.
-func (gr *Group) head() catalog.Life { return gr.Members[0].Life() }
+func (gr *Group) head() catalog.Instance { return gr.Members[0].Instance() }
 
 // Key names a group in what daemons tell each other.
 func (gr *Group) Key() string { return gr.Name }
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -72,10 +72,10 @@
 
 // readTime is the time to read prompts of that many tokens.
 func readTime(en *catalog.Engine, tokens int64) time.Duration {
-	if en.ReadPerSecond <= 0 {
+	if en.PrefillPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) / en.ReadPerSecond * float64(time.Second))
+	return time.Duration(float64(tokens) / en.PrefillPerSecond * float64(time.Second))
 }
 
 // answerTime is how long a usual answer takes to write.
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -271,7 +271,7 @@
 }
 
 func (ta *Table) opens(ne Need, now time.Time) time.Duration {
-	var heads []catalog.Life
+	var heads []catalog.Instance
 	for _, gr := range ta.byName {
 		if gr.takes(ne) {
 			heads = append(heads, gr.head())
@@ -282,7 +282,7 @@
 
 // opens returns after what time the first of some endpoints should take a request: 0 if one
 // does now, or if there is none.
-func opens(reg *backpressure.Register, lives []catalog.Life, now time.Time) time.Duration {
+func opens(reg *backpressure.Register, lives []catalog.Instance, now time.Time) time.Duration {
 	first := time.Duration(0)
 	for i, li := range lives {
 		wait, known := reg.WaitTime(li, now)
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -65,10 +65,10 @@
 	ct.hearGone(be.Gone, now)
 	if ct.lease.core != nil {
 		for _, su := range be.Suspects {
-			ct.lease.core.Suspect(su.Group, su.Epoch, false, now)
+			ct.lease.core.HandleStallReport(su.Group, su.Epoch, false, now)
 		}
 		for _, su := range be.Advancing {
-			ct.lease.core.Advances(su.Group, su.Epoch, now)
+			ct.lease.core.HandleProgressReport(su.Group, su.Epoch, now)
 		}
 	}
 	ct.hearConfig(be)
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -153,7 +153,7 @@
 	da.peers = mesh.NewClient(set.InnerPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
-		OnLeaving:  func(li catalog.Life) { da.control.post(func() { da.control.saidLeaving(li) }) },
+		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
 		OnWrong:    func() { da.control.wrongEndpoint() },
 		Quarantine: da.quarantine, Backpressure: da.backpressure,
 		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -62,7 +62,7 @@
 	// Leaving daemons will not become steward any more.
 	Leaving bool `cbor:"18,keyasint,omitempty"`
 	// Gone are endpoints that the daemon has lately seen leave at the store.
-	Gone []catalog.Life `cbor:"28,keyasint,omitempty"`
+	Gone []catalog.Instance `cbor:"28,keyasint,omitempty"`
 	// Suspects are groups that stand still.
 	Suspects []Suspect `cbor:"15,keyasint,omitempty"`
 	// Advancing are groups that the daemon suspected and whose streams go on.
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -277,7 +277,7 @@
 // tells the steward, which tells all. Sent to everyone by everyone they would be most of what
 // is told.
 func TestBackpressureIsTold(t *testing.T) {
-	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Life{ID: "s1", Incarnation: 5},
+	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
 		Limit: backpressure.Limit{PerSecond: 1.5, Named: true}, LimitAge: time.Second}}}
 	for tell, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
 		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
