--- a/internal/core/rtt/rtt_test.go
+++ b/internal/core/rtt/rtt_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// The limit stays at its lower bound while answers are quick, grows with answers that
-// come late, and falls again after them.
-func TestLimitFollowsAnswers(t *testing.T) {
+// Checks that the timeout stays at its lower bound while responses are fast, grows when responses
+// are late, and falls back after they are fast again.
+func TestTimeoutFollowsResponses(t *testing.T) {
 	const least, most = 60 * time.Millisecond, 400 * time.Millisecond
 	var es Estimator
 	if got := es.Limit(least, most); got != least {
-		t.Errorf("limit before any answer: %v", got)
+		t.Errorf("timeout without samples: %v", got)
 	}
 	steps := []struct {
 		name   string
@@ -29,7 +29,7 @@
 			es.Add(st.took)
 		}
 		if got := es.Limit(least, most); got < st.lo || got > st.hi {
-			t.Errorf("%s: limit %v, want %v to %v", st.name, got, st.lo, st.hi)
+			t.Errorf("%s: timeout %v, want %v to %v", st.name, got, st.lo, st.hi)
 		}
 	}
 }
