--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -1,41 +1,41 @@
-// Package retry bounds retries, so that a fault that makes requests fail does
-// not multiply the load that made them fail.
+// Package retry limits retries to a fraction of first attempts, so that a fault that makes requests
+// fail does not multiply the load on the service.
 package retry
 
 import "sync/atomic"
 
 const (
-	// unit is one retry in the budget's own measure.
-	unit = 10
-	// earned is what each first attempt adds: one retry for ten requests.
-	earned = 1
-	// most is the largest budget, in retries, that quiet times save up.
-	most = 20
+	// unitsPerRetry is the cost of one retry in budget units.
+	unitsPerRetry = 10
+	// unitsPerRequest is credited for each first attempt: one retry per ten requests.
+	unitsPerRequest = 1
+	// maxRetries is the largest budget, in retries, that can accumulate while nothing is retried.
+	maxRetries = 20
 )
 
-// Budget is earned by first attempts and spent by retries. It is safe for
-// use by several goroutines. Make it with NewBudget.
-type Budget struct{ left atomic.Int64 }
+// Budget is credited by first attempts and debited by retries. It is safe for concurrent use. Create
+// it with NewBudget.
+type Budget struct{ units atomic.Int64 }
 
 // NewBudget returns a full budget.
 func NewBudget() *Budget {
 	bu := &Budget{}
-	bu.left.Store(most * unit)
+	bu.units.Store(maxRetries * unitsPerRetry)
 	return bu
 }
 
-// Earn counts a first attempt.
+// Earn credits the budget for a first attempt.
 func (bu *Budget) Earn() {
-	if bu.left.Load() < most*unit {
-		bu.left.Add(earned)
+	if bu.units.Load() < maxRetries*unitsPerRetry {
+		bu.units.Add(unitsPerRequest)
 	}
 }
 
-// Spend takes one retry from the budget and tells whether there was one.
+// Spend debits one retry and reports whether the budget covered it.
 func (bu *Budget) Spend() bool {
-	if bu.left.Add(-unit) >= 0 {
+	if bu.units.Add(-unitsPerRetry) >= 0 {
 		return true
 	}
-	bu.left.Add(unit)
+	bu.units.Add(unitsPerRetry)
 	return false
 }
