--- a/internal/core/route/prefix.go
+++ b/internal/core/route/prefix.go
@@ -2,16 +2,17 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// prefixBytes are the lengths of prompt beginnings that are remembered.
-// Engines cache by blocks of tokens; a few lengths, fourfold each, find most
-// of what two prompts share at a fixed cost.
-var prefixBytes = [...]int{32768, 8192, 2048, 512}
+// prefixLengths are the lengths in bytes of the prompt prefixes that are indexed, longest first.
+// Engines cache blocks of tokens; a few lengths at a factor of four find most of the shared prefix
+// of two prompts at a fixed cost.
+var prefixLengths = [...]int{32768, 8192, 2048, 512}
 
-// Prefixes appends to into the hashes of the prompt's beginnings, the longest
-// first. scope separates models and adapters, whose caches are not shared.
+// Prefixes appends the hashes of the prompt's prefixes to into, longest first, and returns the
+// extended slice. Prompts shorter than 512 bytes have none. scope separates models and adapters,
+// which do not share cache entries.
 func Prefixes(into []uint64, scope, prompt string) []uint64 {
 	seed := xxhash.Sum64String(scope)
-	for _, num := range prefixBytes {
+	for _, num := range prefixLengths {
 		if len(prompt) >= num {
 			into = append(into, xxhash.Sum64String(prompt[:num])^seed)
 		}
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,7 +1,7 @@
-// Package route picks the group for a request. Reports of load and of caches
-// come late and with gaps, so a pick adds what this daemon has sent since the
-// last report, and compares two random groups rather than all: daemons that
-// all see the same old report would otherwise all choose the same group.
+// Package route selects the group for a request. Load and cache reports arrive late and irregularly,
+// so a selection adds the tokens that this daemon has sent since the last report, and compares two
+// random groups instead of all: with the same stale report, all daemons would otherwise select the
+// same group.
 package route
 
 import (
@@ -12,70 +12,71 @@
 	"time"
 )
 
-// Target is a group as the control state describes it.
+// Target is the state of a group as published by the control plane.
 type Target struct {
 	ID string
-	// Reported is the engines' own account of resident and pending tokens.
+	// Reported is the number of resident and pending tokens that the engines report.
 	Reported int64
-	// ReportedAt identifies the report.
+	// ReportedAt is the time of the report; only a later one replaces the counters.
 	ReportedAt time.Time
 	// Requests is the reported number of open requests.
 	Requests int
-	// Capacity is how many tokens the group holds.
+	// Capacity is the number of tokens that the group can hold.
 	Capacity int64
-	// Near groups are preferred.
+	// Near groups are preferred: others are selected only if no target is near.
 	Near bool
 }
 
-// Group is a target with what this daemon knows of it besides. Its counters
-// are safe for use by several goroutines.
+// Group is a target together with this daemon's own counters. The counters are safe for concurrent
+// use.
 type Group struct {
 	ID       string
 	slot     uint32
 	capacity atomic.Int64
 	reported atomic.Int64
 	requests atomic.Int64
-	// open counts the tokens and requests of this daemon that have not ended.
+	// openTokens and openRequests count this daemon's requests that have not ended.
 	openTokens   atomic.Int64
 	openRequests atomic.Int64
-	// current and previous count the tokens sent since the last report and in
-	// the period before: a report may lag by a whole period.
+	// current counts the tokens sent since the last report, previous those sent in the report period
+	// before it: a report may lag by a whole period.
 	current  atomic.Int64
 	previous atomic.Int64
-	// pace is the smoothed time between tokens in nanoseconds.
+	// pace is the smoothed time between tokens in nanoseconds; 0 means no sample.
 	pace       atomic.Int64
 	slow       atomic.Bool
 	reportedAt time.Time
 }
 
-// Load is the estimated number of tokens that the group works on.
+// Load returns the estimated number of tokens that the group processes: the reported tokens plus
+// those sent since, but at least this daemon's open tokens.
 func (gr *Group) Load() int64 {
 	return max(gr.reported.Load()+gr.current.Load()+gr.previous.Load(), gr.openTokens.Load())
 }
 
-// Capacity returns how many tokens the group holds.
+// Capacity returns the number of tokens that the group can hold.
 func (gr *Group) Capacity() int64 { return gr.capacity.Load() }
 
-// Open returns the tokens that this daemon has open on the group.
+// Open returns the number of tokens of this daemon's open requests at the group.
 func (gr *Group) Open() int64 { return gr.openTokens.Load() }
 
-// Begin counts a request of that many tokens as sent to the group.
+// Begin records that a request of the given number of tokens was sent to the group.
 func (gr *Group) Begin(tokens int64) {
 	gr.openTokens.Add(tokens)
 	gr.openRequests.Add(1)
 	gr.current.Add(tokens)
 }
 
-// End counts a request as ended.
+// End records that a request ended. tokens must be the number passed to Begin.
 func (gr *Group) End(tokens int64) {
 	gr.openTokens.Add(-tokens)
 	gr.openRequests.Add(-1)
 }
 
-// paceShift smooths the pace over about 2^paceShift tokens.
+// paceShift sets the smoothing of pace: over about 2^paceShift tokens.
 const paceShift = 4
 
-// Token counts the time between two tokens of a stream.
+// Token records the time between two tokens of a stream.
 func (gr *Group) Token(gap time.Duration) {
 	old := gr.pace.Load()
 	if old == 0 {
@@ -85,28 +86,29 @@
 	gr.pace.Store(old + (int64(gap)-old)>>paceShift)
 }
 
-// Slow tells whether the group is far slower than the others.
+// Slow reports whether the group's time between tokens is more than slowFactor times the median of
+// all groups.
 func (gr *Group) Slow() bool { return gr.slow.Load() }
 
-// Policy chooses among groups. It is one of TokenAffinity, CurrentWorkload,
-// Random, RoundRobin and LeastRequests.
+// Policy is a load-balancing policy. It is one of TokenAffinity, CurrentWorkload, Random, RoundRobin
+// and LeastRequests.
 type Policy interface{ isPolicy() }
 
-// TokenAffinity is the product's own: the cheaper of two random groups and of
-// the group that last served the prompt's prefix, by tokens of work.
+// TokenAffinity is the default policy. It compares two random groups and the group that last served
+// the prompt's prefix, and selects the one with the least work in tokens.
 type TokenAffinity struct{}
 
-// CurrentWorkload sends to the group with the least tokens of all, after the
-// current-workload rule of arXiv 2601.17855 for one request at a time.
+// CurrentWorkload selects the group with the fewest tokens, following the current-workload rule of
+// arXiv 2601.17855 for one request at a time.
 type CurrentWorkload struct{}
 
-// Random, RoundRobin and LeastRequests are baselines.
+// Random, RoundRobin and LeastRequests are baselines for comparison.
 type (
-	// Random picks any group.
+	// Random selects a group at random.
 	Random struct{}
-	// RoundRobin picks the groups in turn.
+	// RoundRobin selects the groups in turn.
 	RoundRobin struct{}
-	// LeastRequests picks the group with the fewest open requests.
+	// LeastRequests selects the group with the fewest open requests.
 	LeastRequests struct{}
 )
 
@@ -116,27 +118,27 @@
 func (RoundRobin) isPolicy()      {}
 func (LeastRequests) isPolicy()   {}
 
-// Request is what a pick depends on.
+// Request holds the properties of a request that a selection uses.
 type Request struct {
-	// Prefixes are hashes of the prompt's beginnings, the longest first.
+	// Prefixes are hashes of the prompt's prefixes, longest first; see the function Prefixes.
 	Prefixes []uint64
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int64
-	// Except are groups that have been tried.
+	// Except lists the groups that were already tried.
 	Except []*Group
 }
 
 const (
-	// slowFactor is how much slower than the median a group must be to be
-	// avoided, and by how much its load then counts more.
+	// slowFactor is the ratio to the median time between tokens above which a group is slow, and the
+	// factor that its load is then multiplied by.
 	slowFactor = 3
-	// minPaced is how many groups must have a pace before they are compared.
-	minPaced = 3
-	// cacheSlots is the size of the memory of prefixes.
+	// minPaceSamples is the number of groups with a measured pace needed for a comparison.
+	minPaceSamples = 3
+	// cacheSlots is the number of entries in the prefix table.
 	cacheSlots = 1 << 15
 )
 
-// Router holds the groups of one model. Make it with New.
+// Router holds the groups of one model. Create it with New. It is safe for concurrent use.
 type Router struct {
 	policy Policy
 	mu     sync.Mutex
@@ -144,8 +146,8 @@
 	nextID uint32
 	groups atomic.Pointer[[]*Group]
 	turn   atomic.Uint64
-	// cache remembers which group last served a prefix: the upper half of an
-	// entry is the prefix's, the lower the group's slot.
+	// cache maps a prefix to the group that last served it: the upper 32 bits of an entry are those
+	// of the prefix hash, the lower 32 bits are the group's slot.
 	cache [cacheSlots]atomic.Uint64
 }
 
@@ -156,8 +158,8 @@
 	return ro
 }
 
-// Update replaces the groups that may be picked. Counters of groups that stay
-// are kept.
+// Update replaces the groups that can be selected. Groups that remain keep their counters. Groups
+// that are not near are dropped if at least one is near.
 func (ro *Router) Update(targets []Target) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -169,7 +171,7 @@
 			groups = append(groups, gr)
 		}
 	}
-	ro.forget(targets)
+	ro.removeStale(targets)
 	markSlow(groups)
 	ro.groups.Store(&groups)
 }
@@ -191,8 +193,8 @@
 	return gr
 }
 
-// forget drops groups that are gone and have no open request.
-func (ro *Router) forget(targets []Target) {
+// removeStale deletes groups that are not in targets and have no open requests.
+func (ro *Router) removeStale(targets []Target) {
 	for id, gr := range ro.byID {
 		here := slices.ContainsFunc(targets, func(ta Target) bool { return ta.ID == id })
 		if !here && gr.openRequests.Load() == 0 {
@@ -201,6 +203,8 @@
 	}
 }
 
+// markSlow sets the slow flag of each group whose pace is more than slowFactor times the median. It
+// does nothing if fewer than minPaceSamples groups have a pace.
 func markSlow(groups []*Group) {
 	var paces []int64
 	for _, gr := range groups {
@@ -208,7 +212,7 @@
 			paces = append(paces, pace)
 		}
 	}
-	if len(paces) < minPaced {
+	if len(paces) < minPaceSamples {
 		return
 	}
 	slices.Sort(paces)
@@ -218,10 +222,10 @@
 	}
 }
 
-// Groups returns the groups that may be picked.
+// Groups returns the groups that can be selected.
 func (ro *Router) Groups() []*Group { return *ro.groups.Load() }
 
-// Pick returns the group for the request, or nil if there is none.
+// Pick returns the group for the request, or nil if all groups are excluded or there are none.
 func (ro *Router) Pick(rq Request) *Group {
 	groups := *ro.groups.Load()
 	if len(groups) == 0 {
@@ -231,21 +235,21 @@
 	case TokenAffinity:
 		return ro.pickAffinity(groups, rq)
 	case CurrentWorkload:
-		return least(groups, rq.Except, (*Group).Load)
+		return leastCost(groups, rq.Except, (*Group).Load)
 	case Random:
-		return after(groups, rq.Except, rand.IntN(len(groups)))
+		return firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
 	case RoundRobin:
-		return after(groups, rq.Except, int(ro.turn.Add(1)%uint64(len(groups))))
+		return firstAllowed(groups, rq.Except, int(ro.turn.Add(1)%uint64(len(groups))))
 	case LeastRequests:
-		return least(groups, rq.Except, func(gr *Group) int64 {
+		return leastCost(groups, rq.Except, func(gr *Group) int64 {
 			return max(gr.requests.Load(), gr.openRequests.Load())
 		})
 	}
 	return nil
 }
 
-// after returns the first group from start on that is not excepted.
-func after(groups []*Group, except []*Group, start int) *Group {
+// firstAllowed returns the first group that is not in except, scanning cyclically from start.
+func firstAllowed(groups []*Group, except []*Group, start int) *Group {
 	for i := range groups {
 		gr := groups[(start+i)%len(groups)]
 		if !slices.Contains(except, gr) {
@@ -255,7 +259,8 @@
 	return nil
 }
 
-func least(groups []*Group, except []*Group, cost func(*Group) int64) *Group {
+// leastCost returns the group with the lowest cost that is not in except, ties broken at random.
+func leastCost(groups []*Group, except []*Group, cost func(*Group) int64) *Group {
 	var best *Group
 	var bestCost int64
 	start := rand.IntN(len(groups))
@@ -271,9 +276,10 @@
 	return best
 }
 
+// pickAffinity implements TokenAffinity.
 func (ro *Router) pickAffinity(groups []*Group, rq Request) *Group {
-	first := after(groups, rq.Except, rand.IntN(len(groups)))
-	second := after(groups, rq.Except, rand.IntN(len(groups)))
+	first := firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
+	second := firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
 	if first == nil {
 		return nil
 	}
@@ -281,20 +287,20 @@
 	if co := second.cost(rq.PromptTokens); co < bestCost {
 		best, bestCost = second, co
 	}
-	cached, part := ro.cached(groups, rq)
+	cached, part := ro.lookupPrefix(groups, rq)
 	if cached == nil || slices.Contains(rq.Except, cached) {
 		return best
 	}
-	// What the cache saves counts against the load: affinity ends by itself
-	// where the cached group is busier than the saving is worth.
+	// The prompt tokens saved by the cache are subtracted from the cost, so affinity stops by itself
+	// once the cached group has more extra load than the cache saves.
 	if cached.cost(rq.PromptTokens-rq.PromptTokens*part/int64(len(rq.Prefixes))) <= bestCost {
 		return cached
 	}
 	return best
 }
 
-// cost is the work that stands before a request with that many tokens to
-// prefill.
+// cost returns the work in tokens ahead of and including the prefill of a new request. It is
+// increased for slow groups.
 func (gr *Group) cost(prefill int64) int64 {
 	co := gr.Load() + prefill
 	if gr.slow.Load() {
@@ -303,9 +309,9 @@
 	return co
 }
 
-// cached returns the group that served the longest remembered prefix, and how
-// many of the prefixes that covers.
-func (ro *Router) cached(groups []*Group, rq Request) (*Group, int64) {
+// lookupPrefix returns the group that served the longest indexed prefix of the request, and the
+// number of the request's prefixes that it covers; nil and 0 if there is none.
+func (ro *Router) lookupPrefix(groups []*Group, rq Request) (*Group, int64) {
 	for i, prefix := range rq.Prefixes {
 		en := ro.cache[prefix%cacheSlots].Load()
 		if en>>32 != prefix>>32 {
@@ -321,7 +327,7 @@
 	return nil, 0
 }
 
-// Remember notes that gr has the prompt's prefixes in its cache.
+// Remember records that gr has the prompt's prefixes in its cache.
 func (ro *Router) Remember(rq Request, gr *Group) {
 	for _, prefix := range rq.Prefixes {
 		ro.cache[prefix%cacheSlots].Store(prefix>>32<<32 | uint64(gr.slot))
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A prompt goes to the group that has its beginning in its cache, until that
-// group has more work waiting than the cache saves.
+// Checks that a prompt is sent to the group that has its prefix cached, but only until that group
+// has more pending work than the cache saves.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	ro := New(TokenAffinity{})
 	ro.Update([]Target{{ID: "g0", Near: true, Capacity: 1e6}, {ID: "g1", Near: true, Capacity: 1e6}})
@@ -66,7 +66,7 @@
 	g0.Begin(500)
 	for range 50 {
 		if gr := ro.Pick(rq); gr != g0 {
-			t.Fatalf("pick = %s, want the group that has the prefix", gr.ID)
+			t.Fatalf("pick = %s, want the group with the cached prefix", gr.ID)
 		}
 	}
 	g0.Begin(5000)
@@ -75,12 +75,12 @@
 			return
 		}
 	}
-	t.Error("an overloaded group still gets every request with its prefix")
+	t.Error("an overloaded group still receives every request with its cached prefix")
 }
 
-// Reports lag by a period: what was sent since the report before the last
-// still counts, or every daemon would send to the group that looks idle.
-func TestLoadCountsWhatReportsLack(t *testing.T) {
+// Guards against overloading a group that looks idle in a stale report. Reports lag by up to one
+// period, so tokens sent in the period before the last report still count.
+func TestLoadIncludesUnreportedTokens(t *testing.T) {
 	ro := New(TokenAffinity{})
 	at := func(sec int64, tokens int64) []Target {
 		return []Target{{ID: "g", Near: true, Reported: tokens, ReportedAt: time.Unix(sec, 0)}}
@@ -91,15 +91,15 @@
 	gr.End(100)
 	ro.Update(at(2, 0))
 	if got := gr.Load(); got != 100 {
-		t.Errorf("load = %d after a report that lacks the request, want 100", got)
+		t.Errorf("load = %d after a report without the request, want 100", got)
 	}
 	ro.Update(at(3, 100))
 	if got := gr.Load(); got != 100 {
-		t.Errorf("load = %d once the report has it, want 100", got)
+		t.Errorf("load = %d after a report with the request, want 100", got)
 	}
 }
 
-// One group generates far slower than the others. It is passed over although
+// One group generates tokens ten times slower than the others. Checks that it is avoided although
 // its reported load is the lowest.
 func TestSlowGroupIsAvoided(t *testing.T) {
 	ro := New(TokenAffinity{})
@@ -121,13 +121,13 @@
 			slow++
 		}
 	}
-	// Both of two random groups are the slow one in 1 of 16 picks.
+	// Both random candidates are the slow group in 1 of 16 selections.
 	if slow > 130 {
-		t.Errorf("the slow group got %d of 1000 requests", slow)
+		t.Errorf("the slow group received %d of 1000 requests, want at most 130", slow)
 	}
 }
 
-func TestFarGroupsOnlyWithoutNearOnes(t *testing.T) {
+func TestFarGroupsOnlyWithoutNearGroups(t *testing.T) {
 	ro := New(TokenAffinity{})
 	ro.Update([]Target{{ID: "near", Near: true}, {ID: "far"}})
 	for range 20 {
