--- a/internal/core/dispatch/budget.go
+++ b/internal/core/dispatch/budget.go
@@ -15,8 +15,8 @@
 	Slack float64
 	// Window is the length of the sliding window over which the limit holds.
 	Window time.Duration
-	// Began is the start time of the daemon.
-	Began time.Time
+	// StartedAt is the start time of the daemon.
+	StartedAt time.Time
 
 	mu       sync.Mutex
 	services map[string]*usage
@@ -51,8 +51,8 @@
 	return true
 }
 
-// Left returns the number of repeats that the budget of the service still allows in this window.
-func (bu *Budget) Left(service string, now time.Time) float64 {
+// Remaining returns the number of repeats that the budget of the service still allows in this window.
+func (bu *Budget) Remaining(service string, now time.Time) float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ac := bu.usageOf(service, now)
@@ -63,7 +63,7 @@
 // just started has no record of what it spent before the restart, so it may use only a part of its
 // slack; the slack of all daemons together is half of the total.
 func (bu *Budget) allowed(ac *usage, now time.Time) float64 {
-	if now.Sub(bu.Began) < bu.Window {
+	if now.Sub(bu.StartedAt) < bu.Window {
 		return startupShare * bu.Slack
 	}
 	return bu.Ratio*float64(sum(ac.requests)-ac.requests[(ac.part+1)%(windowParts+1)]) + bu.Slack
--- a/internal/core/dispatch/budget_test.go
+++ b/internal/core/dispatch/budget_test.go
@@ -23,7 +23,7 @@
 
 // start starts or restarts a daemon with an empty budget history.
 func (bp *budgetSim) start(num int, now time.Time) {
-	bp.budgets[num] = &Budget{Ratio: budgetRatio, Slack: bp.slack * slackShare / float64(len(bp.budgets)), Window: budgetWindow, Began: now}
+	bp.budgets[num] = &Budget{Ratio: budgetRatio, Slack: bp.slack * slackShare / float64(len(bp.budgets)), Window: budgetWindow, StartedAt: now}
 }
 
 // step simulates one time step: requests spread over the daemons, each repeated if wanted and
--- a/internal/core/dispatch/demand.go
+++ b/internal/core/dispatch/demand.go
@@ -81,8 +81,8 @@
 // there are only a few samples.
 const minCountingTime = 400 * time.Millisecond
 
-// Answered records a complete answer with that number of events.
-func (ta *Table) Answered(gr *Group, events int, now time.Time) {
+// RecordAnswer records a complete answer with that number of events.
+func (ta *Table) RecordAnswer(gr *Group, events int, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.demands.recordAnswer(gr.Model, events*gr.engine.Stride, now)
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -25,8 +25,8 @@
 	inView bool
 	// stalled is set while the group emits nothing. A stalled group gets no new requests.
 	stalled bool
-	// recovered is set when a stalled group emits an event again, until Advancing has returned the
-	// group.
+	// recovered is set when a stalled group emits an event again, until RecoveredGroups has returned
+	// the group.
 	recovered bool
 	// unreachable is set when connecting to the head has failed.
 	unreachable bool
@@ -77,10 +77,10 @@
 		if ti.baseline > 0 {
 			ti.ta.residuals.observe(gr.Model, now.Sub(ti.sent)-ti.baseline)
 		}
-		gr.ownLoad.Reading -= ti.load.Reading
-		gr.ownLoad.Context += ti.load.Reading
-		ti.load.Context = ti.load.Reading
-		ti.load.Reading = 0
+		gr.ownLoad.Prefill -= ti.load.Prefill
+		gr.ownLoad.Context += ti.load.Prefill
+		ti.load.Context = ti.load.Prefill
+		ti.load.Prefill = 0
 	} else if !ti.lastEvent.IsZero() && !ti.done {
 		gr.observePause(now.Sub(ti.lastEvent))
 	}
@@ -135,7 +135,7 @@
 	ti.done = true
 	gr := ti.Group
 	gr.ownLoad.Requests--
-	gr.ownLoad.Reading -= ti.load.Reading
+	gr.ownLoad.Prefill -= ti.load.Prefill
 	gr.ownLoad.Context -= ti.load.Context
 	delete(gr.streams, ti)
 }
--- a/internal/core/dispatch/late.go
+++ b/internal/core/dispatch/late.go
@@ -16,15 +16,15 @@
 	// capacity.
 	lateBurst = 50 * time.Millisecond
 	// lateHoldPeriod is the time after its first request in which a daemon delays late requests.
-	// Afterwards it has an estimate of the groups' load, and lateReserve applies.
+	// Afterwards it has an estimate of the groups' load and of the capacity that other requests need.
 	lateHoldPeriod = 5 * time.Second
 	// lateAnswerTimes is the time, in mean answer times, that a late request must have left for its
 	// own answer.
 	lateAnswerTimes = 2
 )
 
-// SetDaemons sets the number of daemons, which share the capacity for late requests.
-func (ta *Table) SetDaemons(num int) {
+// SetDaemonCount sets the number of daemons, which share the capacity for late requests.
+func (ta *Table) SetDaemonCount(num int) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.numDaemons = num
@@ -32,16 +32,16 @@
 
 // Hold is the delay to apply to a late request. It is zero for a request that need not wait.
 type Hold struct {
-	// For is the delay before the first call of Pick.
-	For time.Duration
-	// Most is the total time that the request may be delayed if Pick finds no group at first.
-	Most time.Duration
+	// Delay is the delay before the first call of Pick.
+	Delay time.Duration
+	// MaxDelay is the total time that the request may be delayed if Pick finds no group at first.
+	MaxDelay time.Duration
 }
 
 // HoldLate returns the delay before a request is passed to Pick, and reserves capacity for its work.
 // left is the time until the caller's timeout. Only late requests are delayed, and only in the first
 // lateHoldPeriod: a daemon that has just started has no estimate of the groups' load.
-func (ta *Table) HoldLate(ne Need, left time.Duration, now time.Time) Hold {
+func (ta *Table) HoldLate(ne Request, left time.Duration, now time.Time) Hold {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.firstRequestAt.IsZero() {
@@ -75,7 +75,7 @@
 	if next.Sub(now) < most {
 		ta.nextLate[ne.Model] = next.Add(work)
 	}
-	return Hold{For: min(most, max(0, next.Sub(now))), Most: most}
+	return Hold{Delay: min(most, max(0, next.Sub(now))), MaxDelay: most}
 }
 
 // serviceTime returns the time that a request with that many prompt tokens takes of a group whose
--- a/internal/core/dispatch/late_test.go
+++ b/internal/core/dispatch/late_test.go
@@ -51,24 +51,24 @@
 // there is free capacity.
 func TestLateRequestsPassWithFreeCapacity(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ta.SetDaemons(1)
+	ta.SetDaemonCount(1)
 	late := slotSimNeed()
 	late.Objective = -time.Second
 	const left = 4 * time.Second
-	if ho := ta.HoldLate(late, left, begin); ho.For != 0 {
-		t.Errorf("a single late request is delayed for %v, want 0", ho.For)
+	if ho := ta.HoldLate(late, left, begin); ho.Delay != 0 {
+		t.Errorf("a single late request is delayed for %v, want 0", ho.Delay)
 	}
 	for range 100 {
-		if ho := ta.HoldLate(slotSimNeed(), left, begin); ho.For != 0 {
-			t.Fatalf("a request that is not late is delayed for %v, want 0", ho.For)
+		if ho := ta.HoldLate(slotSimNeed(), left, begin); ho.Delay != 0 {
+			t.Fatalf("a request that is not late is delayed for %v, want 0", ho.Delay)
 		}
 	}
 	for range 1000 {
-		if ho := ta.HoldLate(late, left, begin); ho.For > left/2 {
-			t.Fatalf("delayed for %v of the %v left, want at most half", ho.For, left)
+		if ho := ta.HoldLate(late, left, begin); ho.Delay > left/2 {
+			t.Fatalf("delayed for %v of the %v left, want at most half", ho.Delay, left)
 		}
 	}
-	if ho := ta.HoldLate(late, left, begin.Add(2*lateHoldPeriod)); ho.For != 0 {
-		t.Errorf("delayed for %v by a daemon %v after its first request, want 0", ho.For, 2*lateHoldPeriod)
+	if ho := ta.HoldLate(late, left, begin.Add(2*lateHoldPeriod)); ho.Delay != 0 {
+		t.Errorf("delayed for %v by a daemon %v after its first request, want 0", ho.Delay, 2*lateHoldPeriod)
 	}
 }
--- a/internal/core/dispatch/overload_test.go
+++ b/internal/core/dispatch/overload_test.go
@@ -110,7 +110,7 @@
 	for _, rr := range broken.running {
 		ti := rr.ticket
 		ne := slotSimNeed()
-		ne.Begun, ne.Except = true, []*Group{ti.Group}
+		ne.Resumed, ne.Exclude = true, []*Group{ti.Group}
 		ch, moved := ti.ta.Pick(ne, ignore, cw.now)
 		ti.End()
 		if moved != nil {
@@ -136,7 +136,7 @@
 // play simulates requests arriving at that rate for the duration.
 func (cw *slotSim) play(perSecond float64, dur time.Duration) {
 	for _, ta := range cw.daemons {
-		ta.SetDelay(slotSimReportInterval/2 + cw.reportLatency)
+		ta.SetReportDelay(slotSimReportInterval/2 + cw.reportLatency)
 	}
 	due := 0.0
 	for end := cw.now.Add(dur); cw.now.Before(end); cw.now = cw.now.Add(slotSimStep) {
@@ -154,9 +154,9 @@
 	}
 }
 
-func slotSimNeed() Need {
-	return Need{Service: "engine", Model: "large", Prompt: 100, Objective: 200 * time.Millisecond,
-		Pause: 200 * time.Millisecond, Wait: time.Second}
+func slotSimNeed() Request {
+	return Request{Service: "engine", Model: "large", Prompt: 100, Objective: 200 * time.Millisecond,
+		MaxPause: 200 * time.Millisecond, MaxWait: time.Second}
 }
 
 // arrive sends a request to a random daemon. retry marks a second attempt.
@@ -211,7 +211,7 @@
 func (cw *slotSim) exchangeReports() {
 	for i, ta := range cw.daemons {
 		if cw.now.Sub(begin)/slotSimStep%(slotSimReportInterval/slotSimStep) == time.Duration(i)%(slotSimReportInterval/slotSimStep) {
-			cw.reports = append(cw.reports, delayedReport{cw.now.Add(cw.reportLatency), i, ta.Own(cw.now)})
+			cw.reports = append(cw.reports, delayedReport{cw.now.Add(cw.reportLatency), i, ta.OwnWork(cw.now)})
 		}
 	}
 	for len(cw.reports) > 0 && !cw.reports[0].at.After(cw.now) {
@@ -219,7 +219,7 @@
 		cw.reports = cw.reports[1:]
 		for i, ta := range cw.daemons {
 			if i != to.from {
-				ta.PeerWork(fmt.Sprint(to.from), to.work, to.at)
+				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
 			}
 		}
 	}
--- a/internal/core/dispatch/passes_test.go
+++ b/internal/core/dispatch/passes_test.go
@@ -89,8 +89,8 @@
 	for range daemons {
 		ta := &Table{DataCenter: "here", Rand: pw.rnd}
 		pw.update(ta)
-		ta.SetDelay(passReportInterval/2 + passReportLatency)
-		ta.SetDaemons(daemons)
+		ta.SetReportDelay(passReportInterval/2 + passReportLatency)
+		ta.SetDaemonCount(daemons)
 		pw.daemons = append(pw.daemons, ta)
 	}
 	return pw
@@ -132,17 +132,17 @@
 	return max(1, int64(min(most, mean*math.Exp(sigma*pw.rnd.NormFloat64()-sigma*sigma/2))))
 }
 
-func (pw *passSim) need(rq *passRequest) Need {
-	return Need{Service: "engine", Model: "large", Prompt: rq.prompt, Objective: pw.objective - rq.waited - pw.now.Sub(rq.arrived),
-		Last: !rq.until.IsZero() && pw.now.Add(passRecheck).After(rq.until), Pause: 200 * time.Millisecond, Wait: 1500 * time.Millisecond}
+func (pw *passSim) need(rq *passRequest) Request {
+	return Request{Service: "engine", Model: "large", Prompt: rq.prompt, Objective: pw.objective - rq.waited - pw.now.Sub(rq.arrived),
+		FinalAttempt: !rq.until.IsZero() && pw.now.Add(passRecheck).After(rq.until), MaxPause: 200 * time.Millisecond, MaxWait: 1500 * time.Millisecond}
 }
 
 // arrive passes the request to its daemon, which may delay it if it is late.
 func (pw *passSim) arrive(rq *passRequest) {
 	pw.count(rq).sent++
-	if ho := rq.ta.HoldLate(pw.need(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.For > 0 {
-		rq.until = pw.now.Add(ho.Most)
-		pw.held = append(pw.held, heldRequest{pw.now.Add(ho.For), rq})
+	if ho := rq.ta.HoldLate(pw.need(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.Delay > 0 {
+		rq.until = pw.now.Add(ho.MaxDelay)
+		pw.held = append(pw.held, heldRequest{pw.now.Add(ho.Delay), rq})
 		return
 	}
 	pw.pick(rq)
@@ -172,7 +172,7 @@
 		pw.count(rq).refused++
 		return
 	}
-	rq.ticket, rq.sent, rq.predicted = ti, pw.now, ch.First
+	rq.ticket, rq.sent, rq.predicted = ti, pw.now, ch.FirstEvent
 	gr := pw.groups[ch.Group.Name]
 	gr.waiting = append(gr.waiting, rq)
 }
@@ -224,7 +224,7 @@
 		return false
 	}
 	rq.ticket.End()
-	rq.ta.Answered(rq.ticket.Group, rq.events, pw.now)
+	rq.ta.RecordAnswer(rq.ticket.Group, rq.events, pw.now)
 	if pw.now.Sub(rq.arrived)+rq.waited <= passTimeout {
 		pw.count(rq).complete++
 	}
@@ -236,7 +236,7 @@
 func (pw *passSim) exchangeReports() {
 	for i, ta := range pw.daemons {
 		if pw.now.Sub(begin)/passStep%(passReportInterval/passStep) == time.Duration(i)%(passReportInterval/passStep) {
-			pw.reports = append(pw.reports, delayedReport{pw.now.Add(passReportLatency), i, ta.Own(pw.now)})
+			pw.reports = append(pw.reports, delayedReport{pw.now.Add(passReportLatency), i, ta.OwnWork(pw.now)})
 		}
 	}
 	for len(pw.reports) > 0 && !pw.reports[0].at.After(pw.now) {
@@ -244,7 +244,7 @@
 		pw.reports = pw.reports[1:]
 		for i, ta := range pw.daemons {
 			if i != to.from {
-				ta.PeerWork(fmt.Sprint(to.from), to.work, to.at)
+				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
 			}
 		}
 	}
--- a/internal/core/dispatch/peers.go
+++ b/internal/core/dispatch/peers.go
@@ -30,9 +30,9 @@
 	at time.Time
 }
 
-// PeerWork records the work reported by another daemon. It replaces any relayed work, which includes
-// the same load.
-func (ta *Table) PeerWork(peer string, wo Work, now time.Time) {
+// ApplyPeerWork records the work reported by another daemon. It replaces any relayed work, which
+// includes the same load.
+func (ta *Table) ApplyPeerWork(peer string, wo Work, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.peers == nil {
@@ -74,9 +74,9 @@
 	}
 }
 
-// RelayedWork records the combined work of all other daemons. It replaces the reports of single
+// ApplyRelayedWork records the combined work of all other daemons. It replaces the reports of single
 // daemons.
-func (ta *Table) RelayedWork(wo Work, now time.Time) {
+func (ta *Table) ApplyRelayedWork(wo Work, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.peers == nil {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Own returns the work of this daemon.
-func (ta *Table) Own(now time.Time) Work {
+// OwnWork returns the work of this daemon.
+func (ta *Table) OwnWork(now time.Time) Work {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	wo := Work{Loads: make(map[string]Load, len(ta.groups)), Rates: ta.rates.all(now), Demand: ta.ownDemand(now)}
@@ -115,9 +115,9 @@
 	return wo
 }
 
-// WorkBut returns the work of all daemons except peer, which is what peer lacks for a complete
+// WorkExcept returns the work of all daemons except peer, which is what peer lacks for a complete
 // estimate of the load.
-func (ta *Table) WorkBut(peer string, now time.Time) Work {
+func (ta *Table) WorkExcept(peer string, now time.Time) Work {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	reported := ta.peers[peer]
--- a/internal/core/dispatch/plain.go
+++ b/internal/core/dispatch/plain.go
@@ -79,8 +79,8 @@
 }
 
 // Pick returns the endpoint of a service with the lowest cost and counts a request there. It returns
-// nil if no endpoint outside except accepts requests. The caller must end the request with Answered,
-// Failed or Dropped.
+// nil if no endpoint outside except accepts requests. The caller must end the request with
+// RecordResponse, RecordFailure or Release.
 func (pl *Plain) Pick(service string, except []*PlainEndpoint, now time.Time) *PlainEndpoint {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -101,9 +101,9 @@
 	return best
 }
 
-// Opens returns the time until the first endpoint of a service is expected to accept a request if
+// WaitTime returns the time until the first endpoint of a service is expected to accept a request if
 // the limits of all endpoints currently reject it, and 0 otherwise.
-func (pl *Plain) Opens(service string, now time.Time) time.Duration {
+func (pl *Plain) WaitTime(service string, now time.Time) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var lives []catalog.Life
@@ -135,9 +135,9 @@
 	latencyUnit = 30 * time.Millisecond
 )
 
-// Answered records that an endpoint has responded after the given time. failed is set if the
+// RecordResponse records that an endpoint has responded after the given time. failed is set if the
 // response is itself a failure.
-func (pl *Plain) Answered(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
+func (pl *Plain) RecordResponse(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
@@ -161,8 +161,9 @@
 	}
 }
 
-// Failed records that an endpoint gave no usable response. The endpoint is avoided for some time.
-func (pl *Plain) Failed(ep *PlainEndpoint, now time.Time) {
+// RecordFailure records that an endpoint gave no usable response. The endpoint is avoided for some
+// time.
+func (pl *Plain) RecordFailure(ep *PlainEndpoint, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
@@ -171,8 +172,8 @@
 	ep.failures++
 }
 
-// Dropped records that a request ended with no information about the endpoint.
-func (pl *Plain) Dropped(ep *PlainEndpoint) {
+// Release records that a request ended with no information about the endpoint.
+func (pl *Plain) Release(ep *PlainEndpoint) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -14,24 +14,24 @@
 type Load struct {
 	// Requests is the number of running and waiting requests.
 	Requests int `cbor:"1,keyasint,omitempty"`
-	// Reading is the number of prompt tokens that are still to be prefilled.
-	Reading int64 `cbor:"2,keyasint,omitempty"`
+	// Prefill is the number of prompt tokens that are still to be prefilled.
+	Prefill int64 `cbor:"2,keyasint,omitempty"`
 	// Context is the number of tokens in the context of the decoding requests.
 	Context int64 `cbor:"3,keyasint,omitempty"`
 }
 
 func (lo Load) plus(other Load) Load {
-	return Load{lo.Requests + other.Requests, lo.Reading + other.Reading, lo.Context + other.Context}
+	return Load{lo.Requests + other.Requests, lo.Prefill + other.Prefill, lo.Context + other.Context}
 }
 
 func (lo Load) minus(other Load) Load {
-	return Load{lo.Requests - other.Requests, lo.Reading - other.Reading, lo.Context - other.Context}
+	return Load{lo.Requests - other.Requests, lo.Prefill - other.Prefill, lo.Context - other.Context}
 }
 
 // Prediction is the expected latency of a request at a group.
 type Prediction struct {
-	// First is the time until the first event of the request.
-	First time.Duration
+	// FirstEvent is the time until the first event of the request.
+	FirstEvent time.Duration
 	// Pass is the longest pause between events that the request causes for all requests of the
 	// group.
 	Pass time.Duration
@@ -47,17 +47,17 @@
 func predict(en *catalog.Engine, mo catalog.Model, slowness float64, lo Load, prompt int64) Prediction {
 	pace := mo.TimeFactor() * max(slowness, 1)
 	steps := passTime(en, lo.Requests+1, lo.Context+prompt)
-	read := prefillTime(en, lo.Reading+prompt)
+	read := prefillTime(en, lo.Prefill+prompt)
 	current := passTime(en, lo.Requests, lo.Context)
 	pass := scale(steps+read, pace)
-	pr := Prediction{First: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
+	pr := Prediction{FirstEvent: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
 	if lo.Requests == 0 {
-		pr.First = pass
+		pr.FirstEvent = pass
 	}
 	if pr.Full {
 		// For each request in the queue, one of the running requests has to end first.
 		answer := answerTime(en, lo, pace)
-		pr.First += answer * time.Duration(lo.Requests-en.Slots+1) / time.Duration(max(1, en.Slots))
+		pr.FirstEvent += answer * time.Duration(lo.Requests-en.Slots+1) / time.Duration(max(1, en.Slots))
 	}
 	return pr
 }
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -21,10 +21,10 @@
 	recheckInterval = 700 * time.Millisecond
 )
 
-// Stalled returns the groups whose members are to be probed now, because this daemon's requests
-// there have stalled or the head is unreachable. Requests at stalled groups that have left the view
-// are canceled with ErrStalled, so that they continue at another group.
-func (ta *Table) Stalled(now time.Time) []catalog.Group {
+// StalledGroups returns the groups whose members are to be probed now, because this daemon's
+// requests there have stalled or the head is unreachable. Requests at stalled groups that have left
+// the view are canceled with ErrStalled, so that they continue at another group.
+func (ta *Table) StalledGroups(now time.Time) []catalog.Group {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var stalled []catalog.Group
@@ -44,9 +44,9 @@
 	return stalled
 }
 
-// Advancing returns the groups in the view that were stalled and have emitted events again since the
-// last call.
-func (ta *Table) Advancing() []catalog.Group {
+// RecoveredGroups returns the groups in the view that were stalled and have emitted events again
+// since the last call.
+func (ta *Table) RecoveredGroups() []catalog.Group {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var groups []catalog.Group
@@ -70,7 +70,7 @@
 			return max(minStall, scale(pr.Pass, stallPasses))
 		}
 	}
-	return max(minStall, scale(pr.First, stallPasses))
+	return max(minStall, scale(pr.FirstEvent, stallPasses))
 }
 
 // cancelStreams cancels this daemon's requests at the group with ErrStalled.
@@ -80,9 +80,9 @@
 	}
 }
 
-// Broken cancels the requests at a group that has lost a member, so that they continue at another
-// group, and excludes the group from new requests.
-func (ta *Table) Broken(name string, now time.Time) {
+// MarkBroken cancels the requests at a group that has lost a member, so that they continue at
+// another group, and excludes the group from new requests.
+func (ta *Table) MarkBroken(name string, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if gr := ta.groups[name]; gr != nil {
@@ -92,9 +92,9 @@
 	}
 }
 
-// Sound records that all members of a stalled group have responded. The group gets requests again
-// until the next stall.
-func (ta *Table) Sound(name string) {
+// MarkHealthy records that all members of a stalled group have responded. The group gets requests
+// again until the next stall.
+func (ta *Table) MarkHealthy(name string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if gr := ta.groups[name]; gr != nil {
@@ -102,18 +102,19 @@
 	}
 }
 
-// Unreachable records that connecting to a group's head has failed. The group gets no requests until
-// its members have responded, and Stalled returns it at once. Otherwise a daemon without a stream at
-// the group would send it one request after the other, each of which runs into the timeout.
-func (ta *Table) Unreachable(gr *Group) {
+// MarkUnreachable records that connecting to a group's head has failed. The group gets no requests
+// until its members have responded, and StalledGroups returns it at once. Otherwise a daemon without
+// a stream at the group would send it one request after the other, each of which runs into the
+// timeout.
+func (ta *Table) MarkUnreachable(gr *Group) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	gr.stalled, gr.unreachable = true, true
 }
 
-// Wrong records that an endpoint rejected a request as addressed to another one: the view is
+// MarkMisrouted records that an endpoint rejected a request as addressed to another one: the view is
 // outdated. The group gets no requests until it emits an event or its members have responded.
-func (ta *Table) Wrong(gr *Group) {
+func (ta *Table) MarkMisrouted(gr *Group) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	gr.stalled = true
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -51,37 +51,37 @@
 	expiredAt time.Time
 }
 
-// Need describes a request and its latency limits.
-type Need struct {
+// Request describes a request and its latency limits.
+type Request struct {
 	Service, Model string
 	// Prompt is the number of prompt tokens.
 	Prompt int64
 	// Objective is the time left until the first event is due; it is not positive for a late
 	// request.
 	Objective time.Duration
-	// Pause is the longest acceptable pause between events.
-	Pause time.Duration
-	// Wait is the longest wait for the first event after which the answer is still useful.
-	Wait time.Duration
-	// Last is set for a late request that cannot be delayed any further.
-	Last bool
-	// Begun is set for a request whose caller has received a part of the answer.
-	Begun bool
-	// Except lists the groups that the request was already sent to.
-	Except []*Group
+	// MaxPause is the longest acceptable pause between events.
+	MaxPause time.Duration
+	// MaxWait is the longest wait for the first event after which the answer is still useful.
+	MaxWait time.Duration
+	// FinalAttempt is set for a late request that cannot be delayed any further.
+	FinalAttempt bool
+	// Resumed is set for a request whose caller has received a part of the answer.
+	Resumed bool
+	// Exclude lists the groups that the request was already sent to.
+	Exclude []*Group
 }
 
 // late reports whether the request misses its objective at any group: its caller was refused before
 // and has retried.
-func (ne *Need) late() bool { return ne.Objective <= 0 && !ne.Begun }
+func (ne *Request) late() bool { return ne.Objective <= 0 && !ne.Resumed }
 
 // lateReserve is the fraction of a group's slots reserved for requests that can still meet their
 // objective (trunk reservation). Without it, retries take the slots of first attempts, which are
 // then refused and retried in turn.
 const lateReserve = 0.15
 
-// SetDelay sets the mean age of the other daemons' reports when they are used.
-func (ta *Table) SetDelay(delay time.Duration) {
+// SetReportDelay sets the mean age of the other daemons' reports when they are used.
+func (ta *Table) SetReportDelay(delay time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.reportDelay = delay
@@ -147,47 +147,47 @@
 	Running float64
 	// Idle is set if at least half of the group's slots are estimated to be free.
 	Idle bool
-	// Fits is set if the request is expected to meet its objective.
-	Fits bool
-	// Groups is the number of groups that accept the request. Closed is set if there are groups for
-	// the model but the limits reported by their heads currently reject requests at all of them.
-	Groups int
-	Closed bool
-	// Again is the suggested time before a retry if Group is nil.
-	Again time.Duration
+	// MeetsObjective is set if the request is expected to meet its objective.
+	MeetsObjective bool
+	// Groups is the number of groups that accept the request. AllLimited is set if there are groups
+	// for the model but the limits reported by their heads currently reject requests at all of them.
+	Groups     int
+	AllLimited bool
+	// RetryAfter is the suggested time before a retry if Group is nil.
+	RetryAfter time.Duration
 }
 
 // Pick selects the group for a request and counts the request there. If it refuses the request,
 // Choice.Group and the Ticket are nil. cancel is called with ErrStalled if the request has to
 // continue at another group.
-func (ta *Table) Pick(ne Need, cancel context.CancelCauseFunc, now time.Time) (Choice, *Ticket) {
+func (ta *Table) Pick(ne Request, cancel context.CancelCauseFunc, now time.Time) (Choice, *Ticket) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.rates == nil {
 		ta.rates, ta.estimatedUntil, ta.demands = make(arrivals), make(map[string]time.Time), make(demands)
 	}
-	if !ne.Begun {
+	if !ne.Resumed {
 		ta.rates.add(ne.Model, now)
 	}
-	if !ne.Begun && !ne.late() && len(ne.Except) == 0 {
+	if !ne.Resumed && !ne.late() && len(ne.Exclude) == 0 {
 		ta.demands.recordRequest(ne.Model, ne.Prompt, now)
 	}
 	ta.estimatePeers(ne.Model, now)
 	cands, left := ta.candidates(ne, now)
 	ch := Choice{Groups: len(cands)}
 	if len(cands) == 0 {
-		ch.Again = ta.waitTime(ne, now)
-		ch.Closed = ch.Again > 0
-		if !ch.Closed {
-			ch.Again = retryNoGroup
+		ch.RetryAfter = ta.waitTime(ne, now)
+		ch.AllLimited = ch.RetryAfter > 0
+		if !ch.AllLimited {
+			ch.RetryAfter = retryNoGroup
 		}
 		return ch, nil
 	}
 	best := choose(cands, ta.random())
-	ch.Prediction, ch.Fits, ch.Running = best.Prediction, best.fits, best.running
+	ch.Prediction, ch.MeetsObjective, ch.Running = best.Prediction, best.fits, best.running
 	ch.Idle = best.running < float64(best.gr.engine.Slots)/2
-	if overloaded := !ne.Begun && ta.random() < left; overloaded || !best.fits && !admissible(best, ne) {
-		ch.Again = max(retryFull, best.First-ne.Objective)
+	if overloaded := !ne.Resumed && ta.random() < left; overloaded || !best.fits && !admissible(best, ne) {
+		ch.RetryAfter = max(retryFull, best.FirstEvent-ne.Objective)
 		return ch, nil
 	}
 	ch.Group = best.gr
@@ -209,13 +209,13 @@
 
 // admissible reports whether a request that misses its objective is sent nevertheless: a late answer
 // is useful to its caller, but not if it delays all other requests.
-func admissible(ca candidate, ne Need) bool {
-	return !ca.Full && ca.First < ne.Wait && ca.Pass <= ne.Pause
+func admissible(ca candidate, ne Request) bool {
+	return !ca.Full && ca.FirstEvent < ne.MaxWait && ca.Pass <= ne.MaxPause
 }
 
 // candidates returns the groups that accept the request, and the fraction of the requests of its
 // kind that exceeds the room of all groups.
-func (ta *Table) candidates(ne Need, now time.Time) ([]candidate, float64) {
+func (ta *Table) candidates(ne Request, now time.Time) ([]candidate, float64) {
 	var cands []candidate
 	var levels []level
 	for _, gr := range ta.byName {
@@ -223,7 +223,7 @@
 			continue
 		}
 		le, distance := ta.level(gr), ta.remoteCost(gr)
-		if ne.late() && !ne.Last {
+		if ne.late() && !ne.FinalAttempt {
 			le.room -= lateReserve * float64(gr.engine.Slots)
 		}
 		cands = append(cands, candidate{gr: gr, running: le.load})
@@ -231,7 +231,7 @@
 	}
 	limit := ne.Objective
 	if ne.late() {
-		limit = ne.Wait
+		limit = ne.MaxWait
 	}
 	moving := ta.moves.forModel(ne.Model, now)
 	concurrent := max(0, float64(ta.peerRates[ne.Model]))*concurrentWindow.Seconds() + moving
@@ -244,34 +244,34 @@
 		ca.weight = shares[i]
 		lo := ca.gr.ownLoad.plus(ca.gr.peerLoad)
 		lo.Requests = int(ca.running + shares[i]*concurrent/(concurrent+1))
-		lo.Reading += int64(shares[i] * moving / (concurrent + 1) * float64(ne.Prompt))
+		lo.Prefill += int64(shares[i] * moving / (concurrent + 1) * float64(ne.Prompt))
 		ca.Prediction = predict(ca.gr.engine, ca.gr.model, ca.gr.slowness(), lo, ne.Prompt)
-		ca.baseline = ca.First
-		ca.First += ta.residuals.forModel(ne.Model)
-		ca.fits = !ca.Full && ca.First <= limit && ca.Pass <= scale(ne.Pause, pauseMargin)
+		ca.baseline = ca.FirstEvent
+		ca.FirstEvent += ta.residuals.forModel(ne.Model)
+		ca.fits = !ca.Full && ca.FirstEvent <= limit && ca.Pass <= scale(ne.MaxPause, pauseMargin)
 	}
 	return cands, left / (concurrent + 1)
 }
 
 // accepts reports whether the request may be sent to the group, limits of its head aside.
-func (gr *Group) accepts(ne Need) bool {
+func (gr *Group) accepts(ne Request) bool {
 	if !gr.inView || gr.leaving || gr.stalled {
 		return false
 	}
-	return gr.Service == ne.Service && gr.Model == ne.Model && !slices.Contains(ne.Except, gr)
+	return gr.Service == ne.Service && gr.Model == ne.Model && !slices.Contains(ne.Exclude, gr)
 }
 
-// Opens returns the time until the first group is expected to accept the request if the limits of
+// WaitTime returns the time until the first group is expected to accept the request if the limits of
 // all heads currently reject it, and 0 otherwise.
-func (ta *Table) Opens(ne Need, now time.Time) time.Duration {
+func (ta *Table) WaitTime(ne Request, now time.Time) time.Duration {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ne.Except = nil
+	ne.Exclude = nil
 	return ta.waitTime(ne, now)
 }
 
-// waitTime implements Opens. The caller holds mu.
-func (ta *Table) waitTime(ne Need, now time.Time) time.Duration {
+// waitTime implements WaitTime. The caller holds mu.
+func (ta *Table) waitTime(ne Request, now time.Time) time.Duration {
 	var heads []catalog.Life
 	for _, gr := range ta.byName {
 		if gr.accepts(ne) {
@@ -346,7 +346,7 @@
 	}
 	best := cands[0]
 	for _, ca := range cands[1:] {
-		if ca.Full == best.Full && ca.First < best.First || best.Full && !ca.Full {
+		if ca.Full == best.Full && ca.FirstEvent < best.FirstEvent || best.Full && !ca.Full {
 			best = ca
 		}
 	}
@@ -354,10 +354,10 @@
 }
 
 // start counts the request at the candidate's group and returns its ticket.
-func (ta *Table) start(ca candidate, ne Need, cancel context.CancelCauseFunc, now time.Time) *Ticket {
+func (ta *Table) start(ca candidate, ne Request, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
 	ta.Backpressure.Sent(gr.head(), now)
-	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Reading: ne.Prompt}, cancel: cancel, sent: now}
+	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Prefill: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.baseline = ca.baseline
 	}
--- a/internal/core/dispatch/waits.go
+++ b/internal/core/dispatch/waits.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Waits estimates how long the caller of a request has already waited. The caller's timeout runs
-// from its first attempt, which another daemon may have refused, and a request does not state
+// WaitEstimator estimates how long the caller of a request has already waited. The caller's timeout
+// runs from its first attempt, which another daemon may have refused, and a request does not state
 // whether it is a retry. But each request states the remaining time, and first attempts on a route
-// all state about the same. Waits is safe for concurrent use.
-type Waits struct {
+// all state about the same. WaitEstimator is safe for concurrent use.
+type WaitEstimator struct {
 	mu     sync.Mutex
 	routes map[string]*timeoutHistory
 }
@@ -36,10 +36,10 @@
 	maxRoutes = 1024
 )
 
-// Before returns how long the caller of a request has already waited, and records remaining, the time
-// that it will still wait. It returns 0 for first attempts. timeout is the route's timeout, which is
-// assumed for callers until enough samples are recorded.
-func (wa *Waits) Before(route string, remaining, timeout time.Duration) time.Duration {
+// ElapsedWait returns how long the caller of a request has already waited, and records remaining,
+// the time that it will still wait. It returns 0 for first attempts. timeout is the route's timeout,
+// which is assumed for callers until enough samples are recorded.
+func (wa *WaitEstimator) ElapsedWait(route string, remaining, timeout time.Duration) time.Duration {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	pa := wa.routes[route]
--- a/internal/core/dispatch/waits_test.go
+++ b/internal/core/dispatch/waits_test.go
@@ -9,7 +9,7 @@
 // A caller is refused and retries at another daemon. Guards against that daemon treating the request
 // as one that can still meet its objective, which makes other requests late.
 func TestWaits(t *testing.T) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	first, short := 5*time.Second, 2*time.Second
 	tests := []struct {
 		name      string
@@ -23,19 +23,19 @@
 		{"first attempt with a shorter timeout", short, 0},
 		{"retry with a shorter timeout", short - time.Second, time.Second},
 	}
-	if got := wa.Before("route", first-time.Second, 0); got != 0 {
+	if got := wa.ElapsedWait("route", first-time.Second, 0); got != 0 {
 		t.Errorf("first request on the route: waited %v, want 0", got)
 	}
 	for range minRepeats {
-		wa.Before("route", first, first)
-		wa.Before("route", short, first)
+		wa.ElapsedWait("route", first, first)
+		wa.ElapsedWait("route", short, first)
 	}
 	for _, tc := range tests {
-		if got := wa.Before("route", tc.remaining, first); got != tc.want {
+		if got := wa.ElapsedWait("route", tc.remaining, first); got != tc.want {
 			t.Errorf("%s: waited %v, want %v", tc.name, got, tc.want)
 		}
 	}
-	if got := wa.Before("other", first-time.Second, 0); got != 0 {
+	if got := wa.ElapsedWait("other", first-time.Second, 0); got != 0 {
 		t.Errorf("first request on another route: waited %v, want 0", got)
 	}
 }
@@ -55,7 +55,7 @@
 		{"first attempt with a timeout longer than the route's", 2 * timeout, 0},
 	}
 	for _, tc := range tests {
-		if got := new(Waits).Before("route", tc.remaining, timeout); got != tc.want {
+		if got := new(WaitEstimator).ElapsedWait("route", tc.remaining, timeout); got != tc.want {
 			t.Errorf("%s: waited %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -65,14 +65,14 @@
 func TestWaitsWithVaryingTimeouts(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for _, most := range []time.Duration{6 * time.Second, 3 * time.Second} {
-		wa, misclassified := &Waits{}, 0
+		wa, misclassified := &WaitEstimator{}, 0
 		for i := range 400 {
 			remaining := scale(most, 1-0.15*rnd.Float64())
 			retry := i%3 == 2
 			if retry {
 				remaining -= time.Second + time.Duration(rnd.Int64N(int64(500*time.Millisecond)))
 			}
-			late := wa.Before("route", remaining, 8*time.Second) > 0
+			late := wa.ElapsedWait("route", remaining, 8*time.Second) > 0
 			if i >= 2*minSamples && late != retry {
 				misclassified++
 			}
@@ -85,9 +85,9 @@
 
 // Guards against unbounded growth: configuration changes keep adding new routes.
 func TestWaitsAreBounded(t *testing.T) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	for i := range 3 * maxRoutes {
-		wa.Before(time.Duration(i).String(), time.Second, time.Second)
+		wa.ElapsedWait(time.Duration(i).String(), time.Second, time.Second)
 	}
 	if len(wa.routes) > maxRoutes {
 		t.Errorf("%d routes are kept", len(wa.routes))
@@ -95,8 +95,8 @@
 }
 
 func BenchmarkWaits(b *testing.B) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	for i := 0; b.Loop(); i++ {
-		wa.Before("route", 5*time.Second-time.Duration(i%3)*time.Millisecond, 5*time.Second)
+		wa.ElapsedWait("route", 5*time.Second-time.Duration(i%3)*time.Millisecond, 5*time.Second)
 	}
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -57,8 +57,8 @@
 // Capacity returns the number of tokens that the group can hold.
 func (gr *Group) Capacity() int64 { return gr.capacity.Load() }
 
-// Open returns the number of tokens of this daemon's open requests at the group.
-func (gr *Group) Open() int64 { return gr.openTokens.Load() }
+// OpenTokens returns the number of tokens of this daemon's open requests at the group.
+func (gr *Group) OpenTokens() int64 { return gr.openTokens.Load() }
 
 // Begin records that a request of the given number of tokens was sent to the group.
 func (gr *Group) Begin(tokens int64) {
@@ -76,8 +76,8 @@
 // paceShift sets the smoothing of pace: over about 2^paceShift tokens.
 const paceShift = 4
 
-// Token records the time between two tokens of a stream.
-func (gr *Group) Token(gap time.Duration) {
+// RecordTokenGap records the time between two tokens of a stream.
+func (gr *Group) RecordTokenGap(gap time.Duration) {
 	old := gr.pace.Load()
 	if old == 0 {
 		gr.pace.Store(int64(gap))
@@ -124,8 +124,8 @@
 	Prefixes []uint64
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int64
-	// Except lists the groups that were already tried.
-	Except []*Group
+	// Exclude lists the groups that were already tried.
+	Exclude []*Group
 }
 
 const (
@@ -235,13 +235,13 @@
 	case TokenAffinity:
 		return ro.pickAffinity(groups, rq)
 	case CurrentWorkload:
-		return leastCost(groups, rq.Except, (*Group).Load)
+		return leastCost(groups, rq.Exclude, (*Group).Load)
 	case Random:
-		return firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
+		return firstAllowed(groups, rq.Exclude, rand.IntN(len(groups)))
 	case RoundRobin:
-		return firstAllowed(groups, rq.Except, int(ro.turn.Add(1)%uint64(len(groups))))
+		return firstAllowed(groups, rq.Exclude, int(ro.turn.Add(1)%uint64(len(groups))))
 	case LeastRequests:
-		return leastCost(groups, rq.Except, func(gr *Group) int64 {
+		return leastCost(groups, rq.Exclude, func(gr *Group) int64 {
 			return max(gr.requests.Load(), gr.openRequests.Load())
 		})
 	}
@@ -278,8 +278,8 @@
 
 // pickAffinity implements TokenAffinity.
 func (ro *Router) pickAffinity(groups []*Group, rq Request) *Group {
-	first := firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
-	second := firstAllowed(groups, rq.Except, rand.IntN(len(groups)))
+	first := firstAllowed(groups, rq.Exclude, rand.IntN(len(groups)))
+	second := firstAllowed(groups, rq.Exclude, rand.IntN(len(groups)))
 	if first == nil {
 		return nil
 	}
@@ -288,7 +288,7 @@
 		best, bestCost = second, co
 	}
 	cached, part := ro.lookupPrefix(groups, rq)
-	if cached == nil || slices.Contains(rq.Except, cached) {
+	if cached == nil || slices.Contains(rq.Exclude, cached) {
 		return best
 	}
 	// The prompt tokens saved by the cache are subtracted from the cost, so affinity stops by itself
--- a/internal/core/rtt/rtt.go
+++ b/internal/core/rtt/rtt.go
@@ -29,8 +29,8 @@
 	es.mean += time.Duration(meanWeight * float64(took-es.mean))
 }
 
-// Limit returns the timeout for a response: the mean plus four variations, clamped to the range from
+// Timeout returns the timeout for a response: the mean plus four variations, clamped to the range from
 // least to most. It returns least if there are no samples.
-func (es *Estimator) Limit(least, most time.Duration) time.Duration {
+func (es *Estimator) Timeout(least, most time.Duration) time.Duration {
 	return min(most, max(least, es.mean+variationFactor*es.variation))
 }
--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -70,7 +70,7 @@
 	vm.asking = true
 	as := Ask{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Limit: askMost}
 	if as.Urgent {
-		as.Limit = co.answers.Limit(urgentLeast, askMost)
+		as.Limit = co.answers.Timeout(urgentLeast, askMost)
 	}
 	return as
 }
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -103,7 +103,7 @@
 	for _, ev := range evs {
 		if ev.What == steward.GroupSound {
 			ct.sound.note(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
-			ct.da.table.Sound(ev.Group)
+			ct.da.table.MarkHealthy(ev.Group)
 			continue
 		}
 		metrics.GetOrCreateCounter(`corianderhub_steward_events_total{what="` + ev.What + `"}`).Inc()
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -38,12 +38,12 @@
 	relay := ct.lease.settled() && !ct.da.mesh.Direct()
 	be.Backpressure = ct.da.backpressure.Tell(now, ct.tellFor(), relay)
 	ct.lease.sent(ct.number)
-	work := mesh.Work{Own: ct.da.table.Own(now)}
+	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.settled() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
 		be.Silent = ct.da.mesh.Silent()
 		be.Sound = ct.sound.lately(now)
-		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkBut(ip, now) }
+		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
 		ct.da.Log.Error("control: beat not sent.", "cause", err.Error())
@@ -55,9 +55,9 @@
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
-		ct.da.table.PeerWork(be.IP, be.Work, now)
+		ct.da.table.ApplyPeerWork(be.IP, be.Work, now)
 	case mesh.WorkRelayed:
-		ct.da.table.RelayedWork(be.Work, now)
+		ct.da.table.ApplyRelayedWork(be.Work, now)
 	case mesh.WorkNone:
 	}
 	ct.served = ct.served || be.Served
@@ -91,7 +91,7 @@
 	ct.steward, ct.heard = be, now
 	ct.da.mesh.SetSteward(be.IP)
 	for _, su := range be.Sound {
-		ct.da.table.Sound(su.Group)
+		ct.da.table.MarkHealthy(su.Group)
 	}
 	ct.confirm(now.Add(-be.Age - hearDelay))
 	if ct.told == nil || be.Term > ct.told.Term || be.Term == ct.told.Term && be.View > ct.told.Sequence {
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -158,7 +158,7 @@
 		Quarantine: da.quarantine, Backpressure: da.backpressure,
 		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
 		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
-		Budget: &dispatch.Budget{Began: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
+		Budget: &dispatch.Budget{StartedAt: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
 	return nil
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -90,7 +90,7 @@
 	}
 	least, found := 0.0, false
 	for name := range cfg.Services {
-		if left := da.front.Budget.Left(name, da.Clock.Now()); !found || left < least {
+		if left := da.front.Budget.Remaining(name, da.Clock.Now()); !found || left < least {
 			least, found = left, true
 		}
 	}
