--- a/internal/core/catalog/config.go
+++ b/internal/core/catalog/config.go
@@ -105,10 +105,10 @@
 	StepPerRequest time.Duration
 	// StepPerKContext is added for each 1,000 tokens of a writer's context.
 	StepPerKContext time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second.
-	ReadPerSecond float64
-	// PairsPerM is the time for each million pairs of a token and an earlier one.
-	PairsPerM time.Duration
+	// PrefillPerSecond is the number of prompt tokens read in a second.
+	PrefillPerSecond float64
+	// TimePerMillionPairs is the time for each million pairs of a token and an earlier one.
+	TimePerMillionPairs time.Duration
 	// Chunk is the most prompt tokens read in one step.
 	Chunk int
 	// ReportLag is how old reported figures may be.
@@ -117,8 +117,8 @@
 	LoadsPerSecond float64
 	// LoadsAtOnce is how many loads run at full speed.
 	LoadsAtOnce int
-	// Form is how long a group takes from the order to open until it serves.
-	Form time.Duration
+	// FormTime is how long a group takes from the order to open until it serves.
+	FormTime time.Duration
 	// MeanPrompt and MeanAnswer are the usual token counts of a request.
 	MeanPrompt, MeanAnswer float64
 	// Delays are the one-way delays between data centres.
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -36,8 +36,8 @@
 // Differs tells whether two incarnations are certainly not the same.
 func (in Incarnation) Differs(from Incarnation) bool { return in != from && in != 0 && from != 0 }
 
-// Life is one life of a server process.
-type Life struct {
+// Instance is one life of a server process.
+type Instance struct {
 	ID          string      `json:"id" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"2,keyasint,omitempty"`
 }
@@ -70,8 +70,8 @@
 	Revision int64
 }
 
-// Life returns the life that the endpoint is known in.
-func (ep *Endpoint) Life() Life { return Life{ep.ID, ep.Incarnation} }
+// Instance returns the life that the endpoint is known in.
+func (ep *Endpoint) Instance() Instance { return Instance{ep.ID, ep.Incarnation} }
 
 // HasStaged tells whether the model is on the endpoint's host.
 func (ep *Endpoint) HasStaged(model string) bool { return slices.Contains(ep.Staged, model) }
--- a/internal/core/control/check_test.go
+++ b/internal/core/control/check_test.go
@@ -18,7 +18,7 @@
 		}
 		for _, dom := range no.core.Domains() {
 			for _, gr := range dom.Groups {
-				if _, ok := gr.Whole(w.truth); ok {
+				if _, ok := gr.ServingRing(w.truth); ok {
 					w.whole[wholeKey(gr)] = w.clock.Now()
 				}
 			}
--- a/internal/core/control/engine_test.go
+++ b/internal/core/control/engine_test.go
@@ -67,13 +67,13 @@
 func (w *world) obey(en *engine, or fleet.Order) {
 	switch or := or.(type) {
 	case fleet.Join:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Group.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Group.Fence, or.Generation) {
 			return
 		}
 		en.orders++
 		en.generation++
 		re := &en.report
-		re.Group, re.Fence, re.Turn, re.Role, re.Adapters = or.Group.ID, or.Group.Fence, or.Turn, or.Group.Role, or.Group.Adapters
+		re.Group, re.Fence, re.Generation, re.Role, re.Adapters = or.Group.ID, or.Group.Fence, or.Generation, or.Group.Role, or.Group.Adapters
 		re.Ring = nil
 		for _, me := range or.Ring {
 			re.Ring = append(re.Ring, me.VM)
@@ -91,12 +91,12 @@
 			}
 		})
 	case fleet.Prepare:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Generation) {
 			return
 		}
 		en.generation++
 		re, generation := &en.report, en.generation
-		re.Fence, re.Turn = or.Fence, or.Turn
+		re.Fence, re.Generation = or.Fence, or.Generation
 		w.at(en.loadTime, func() {
 			if en.generation == generation && !en.down {
 				en.loads++
@@ -104,18 +104,18 @@
 			}
 		})
 	case fleet.Release:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Generation) {
 			return
 		}
 		en.orders++
 		en.generation++
 		re := &en.report
-		re.Group, re.Fence, re.Turn, re.Ring, re.Ready = "", or.Fence, or.Turn, nil, false
+		re.Group, re.Fence, re.Generation, re.Ring, re.Ready = "", or.Fence, or.Generation, nil, false
 	}
 }
 
 func old(re fleet.Report, fence, turn uint64) bool {
-	return fence < re.Fence || fence == re.Fence && turn < re.Turn
+	return fence < re.Fence || fence == re.Fence && turn < re.Generation
 }
 
 // truth returns the report of a VM's engine, whatever the daemons know.
--- a/internal/core/control/hold_test.go
+++ b/internal/core/control/hold_test.go
@@ -334,7 +334,7 @@
 			en.boot()
 			w.run(5 * time.Second)
 			late := w.engines[old.Members[1].VM]
-			w.obey(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: old, Ring: old.Members, Turn: 1})
+			w.obey(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: old, Ring: old.Members, Generation: 1})
 			w.until("put right", healLimit, func() bool { return late.report.Fence != old.Fence && w.allServe(2)() })
 		}},
 		// Writes of assignments take effect but their answers are lost.
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -13,7 +13,7 @@
 
 // sighting is this daemon's own evidence of one VM.
 type sighting struct {
-	fleet.Sighting
+	fleet.Observation
 	// change is the value of Core.changes when this last changed.
 	change uint64
 	// probedAt is when the last probe was emitted.
@@ -214,7 +214,7 @@
 }
 
 func (co *Core) probeAnswered(si *sighting, ev Probed) {
-	if si.At.IsZero() || !si.FailingSince.IsZero() || !si.Report.Same(*ev.Report) {
+	if si.At.IsZero() || !si.FailingSince.IsZero() || !si.Report.EqualExceptTokens(*ev.Report) {
 		co.changes++
 		si.change = co.changes
 	}
@@ -234,7 +234,7 @@
 		}
 		return
 	}
-	ring, ok := gr.Whole(co.fresh)
+	ring, ok := gr.ServingRing(co.fresh)
 	if !ok {
 		return
 	}
@@ -267,7 +267,7 @@
 // reports: it can't leave a ring and come back to it with the same turn.
 func sameMembership(re, next fleet.Report) bool {
 	re.Load, next.Load = fleet.Load{}, fleet.Load{}
-	return re.Same(next)
+	return re.EqualExceptTokens(next)
 }
 
 // revoked withdraws a permit on another daemon's word. A daemon that was
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -21,7 +21,7 @@
 	boot   int64
 	change uint64
 	at     time.Time
-	vms    map[string]fleet.Sighting
+	vms    map[string]fleet.Observation
 }
 
 func (co *Core) pullSightings() {
@@ -40,7 +40,7 @@
 func (co *Core) sourceOf(daemon string) *source {
 	so, ok := co.steward.sources[daemon]
 	if !ok {
-		so = &source{vms: make(map[string]fleet.Sighting)}
+		so = &source{vms: make(map[string]fleet.Observation)}
 		co.steward.sources[daemon] = so
 	}
 	return so
@@ -57,7 +57,7 @@
 	so := co.sourceOf(daemon)
 	restarted := an.Boot != so.boot
 	if restarted || an.Whole {
-		*so = source{boot: an.Boot, vms: make(map[string]fleet.Sighting)}
+		*so = source{boot: an.Boot, vms: make(map[string]fleet.Observation)}
 	}
 	if restarted && !an.Whole {
 		// The changes continue a former run's count: ask for everything.
@@ -69,7 +69,7 @@
 		delete(so.vms, vm)
 	}
 	for _, sa := range an.VMs {
-		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: aged(sentAt, sa.SeenAgeMS), FailingSince: aged(sentAt, sa.FailingAgeMS)}
+		so.vms[sa.VM] = fleet.Observation{Report: sa.Report, At: aged(sentAt, sa.SeenAgeMS), FailingSince: aged(sentAt, sa.FailingAgeMS)}
 	}
 }
 
@@ -82,8 +82,8 @@
 
 // merged joins the probers' sightings. A VM fails only while every prober
 // that sees it says so: one prober that is cut off is no evidence of a death.
-func (co *Core) merged() map[string]fleet.Sighting {
-	seen := make(map[string]fleet.Sighting)
+func (co *Core) merged() map[string]fleet.Observation {
+	seen := make(map[string]fleet.Observation)
 	for _, name := range sortedKeys(co.steward.sources) {
 		so := co.steward.sources[name]
 		if co.now.Sub(so.at) > sourceLimit {
@@ -99,7 +99,7 @@
 	return seen
 }
 
-func better(si, than fleet.Sighting) bool {
+func better(si, than fleet.Observation) bool {
 	if si.FailingSince.IsZero() != than.FailingSince.IsZero() {
 		return si.FailingSince.IsZero()
 	}
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -60,7 +60,7 @@
 	sources map[string]*source
 	budget  float64
 	spentAt time.Time
-	account fleet.Account
+	account fleet.Stats
 	// servingSince tells since when each group has been whole.
 	servingSince map[string]time.Time
 	// who is the steward that was announced last.
@@ -313,8 +313,8 @@
 		Config:     co.cfg,
 		VMs:        st.vms,
 		Domains:    make(map[string]fleet.Domain, len(st.stored)),
-		Seen:       co.merged(),
-		Ordered:    st.ordered,
+		Observed:       co.merged(),
+		LastOrder:    st.ordered,
 		Epoch:      st.epoch,
 
 		ServingSince: st.servingSince,
@@ -419,7 +419,7 @@
 	Epoch   uint64        `json:"epoch"`
 	Mine    bool          `json:"mine"`
 	Acting  bool          `json:"acting"`
-	Account fleet.Account `json:"account"`
+	Account fleet.Stats `json:"account"`
 }
 
 // Steward returns the state of the stewardship.
--- a/internal/core/dispatch/closed_test.go
+++ b/internal/core/dispatch/closed_test.go
@@ -13,7 +13,7 @@
 // choice says when to retry.
 func TestLimitedGroup(t *testing.T) {
 	now := time.Unix(100, 0)
-	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, ReadPerSecond: 50000, MeanAnswer: 100,
+	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
 		Models: []catalog.Model{{Name: "large", Size: 1, Pace: 1}}}
 	cfg := &catalog.Config{Services: map[string]catalog.Service{"engine": {Engine: en}}}
 	vi := &catalog.View{}
@@ -25,7 +25,7 @@
 	ta := &Table{Backpressure: reg}
 	ta.Update(vi, cfg, now)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Groups[0].Members[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Groups[0].Members[0].Instance(), limit, now, now)
 	for range 10 {
 		ch, ti := ta.Pick(ne, nil, now)
 		if ti == nil || ch.Group.Name != "other" {
@@ -33,7 +33,7 @@
 		}
 		ti.End()
 	}
-	reg.SetLimit(vi.Groups[1].Members[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Groups[1].Members[0].Instance(), limit, now, now)
 	ch, ti := ta.Pick(ne, nil, now)
 	if ti != nil || !ch.AllLimited || ch.RetryAfter <= 0 || ch.RetryAfter > 500*time.Millisecond {
 		t.Errorf("both groups limited: got %+v, want no ticket and a wait of up to 500 ms", ch)
@@ -51,13 +51,13 @@
 	pl := &Plain{Backpressure: reg}
 	pl.Update(vi)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Plain[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Plain[0].Instance(), limit, now, now)
 	for range 10 {
 		if ep := pl.Pick("desk", nil, now); ep == nil || ep.ID != "other" {
 			t.Fatalf("picked %+v, want endpoint other", ep)
 		}
 	}
-	reg.SetLimit(vi.Plain[1].Life(), limit, now, now)
+	reg.SetLimit(vi.Plain[1].Instance(), limit, now, now)
 	if ep := pl.Pick("desk", nil, now); ep != nil {
 		t.Errorf("both endpoints limited: picked %s, want none", ep.ID)
 	}
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -14,7 +14,7 @@
 
 func engine() *catalog.Engine {
 	return &catalog.Engine{Slots: 26, Stride: 7, Step: 5950 * time.Microsecond, StepPerRequest: 44500 * time.Nanosecond,
-		StepPerKContext: 8130 * time.Nanosecond, ReadPerSecond: 50700, Form: 300 * time.Millisecond, MeanAnswer: 178,
+		StepPerKContext: 8130 * time.Nanosecond, PrefillPerSecond: 50700, FormTime: 300 * time.Millisecond, MeanAnswer: 178,
 		Models: []catalog.Model{{Name: "large", Size: 2, Pace: 1}, {Name: "small", Size: 2, Pace: 0.6}}}
 }
 
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -43,7 +43,7 @@
 }
 
 // head identifies the process that receives the group's requests.
-func (gr *Group) head() catalog.Life { return gr.Members[0].Life() }
+func (gr *Group) head() catalog.Instance { return gr.Members[0].Instance() }
 
 // Key returns the name that identifies the group in messages between daemons.
 func (gr *Group) Key() string { return gr.Name }
--- a/internal/core/dispatch/plain.go
+++ b/internal/core/dispatch/plain.go
@@ -87,7 +87,7 @@
 	var best *PlainEndpoint
 	var bestCost float64
 	for _, ep := range pl.services[service] {
-		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Takes(ep.Life(), now) {
+		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Accepts(ep.Instance(), now) {
 			continue
 		}
 		if co := pl.cost(ep, now); best == nil || co < bestCost {
@@ -96,7 +96,7 @@
 	}
 	if best != nil {
 		best.openRequests++
-		pl.Backpressure.Sent(best.Life(), now)
+		pl.Backpressure.RecordSent(best.Instance(), now)
 	}
 	return best
 }
@@ -106,10 +106,10 @@
 func (pl *Plain) WaitTime(service string, now time.Time) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	var lives []catalog.Life
+	var lives []catalog.Instance
 	for _, ep := range pl.services[service] {
 		if !ep.leaving {
-			lives = append(lives, ep.Life())
+			lives = append(lives, ep.Instance())
 		}
 	}
 	return waitTime(pl.Backpressure, lives, now)
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -72,10 +72,10 @@
 
 // prefillTime returns the time to prefill that many prompt tokens.
 func prefillTime(en *catalog.Engine, tokens int64) time.Duration {
-	if en.ReadPerSecond <= 0 {
+	if en.PrefillPerSecond <= 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens) / en.ReadPerSecond * float64(time.Second))
+	return time.Duration(float64(tokens) / en.PrefillPerSecond * float64(time.Second))
 }
 
 // answerTime returns the time to generate an answer of mean length under load lo.
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -219,7 +219,7 @@
 	var cands []candidate
 	var levels []level
 	for _, gr := range ta.byName {
-		if !gr.accepts(ne) || !ta.Backpressure.Takes(gr.head(), now) {
+		if !gr.accepts(ne) || !ta.Backpressure.Accepts(gr.head(), now) {
 			continue
 		}
 		le, distance := ta.level(gr), ta.remoteCost(gr)
@@ -272,7 +272,7 @@
 
 // waitTime implements WaitTime. The caller holds mu.
 func (ta *Table) waitTime(ne Request, now time.Time) time.Duration {
-	var heads []catalog.Life
+	var heads []catalog.Instance
 	for _, gr := range ta.byName {
 		if gr.accepts(ne) {
 			heads = append(heads, gr.head())
@@ -283,10 +283,10 @@
 
 // waitTime returns the time until the first of the endpoints is expected to accept a request. It
 // returns 0 if one accepts now, or if lives is empty.
-func waitTime(reg *backpressure.Register, lives []catalog.Life, now time.Time) time.Duration {
+func waitTime(reg *backpressure.Register, lives []catalog.Instance, now time.Time) time.Duration {
 	first := time.Duration(0)
 	for i, li := range lives {
-		wait, known := reg.Opens(li, now)
+		wait, known := reg.WaitTime(li, now)
 		switch {
 		case !known:
 			wait = retryElsewhere
@@ -356,7 +356,7 @@
 // start counts the request at the candidate's group and returns its ticket.
 func (ta *Table) start(ca candidate, ne Request, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
-	ta.Backpressure.Sent(gr.head(), now)
+	ta.Backpressure.RecordSent(gr.head(), now)
 	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Prefill: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.baseline = ca.baseline
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -336,7 +336,7 @@
 	// store was read again, the steward's last view is the better one. In an outage of the
 	// store daemons left out all groups formed since, and refused half of their requests.
 	if ct.lease.core == nil && ct.follows() && (ct.haveAll || ct.told == nil) && ct.revision > 0 {
-		vi = catalog.Fold(ct.endpoints, cfg, ct.told, ct.revision)
+		vi = catalog.ViewFromEntries(ct.endpoints, cfg, ct.told, ct.revision)
 	}
 	if vi == nil {
 		return
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -32,7 +32,7 @@
 		ct.da.Log.Info("control: group stands still.", "group", gr.Name, "epoch", gr.Epoch)
 		suspects = append(suspects, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
-			ct.lease.core.Suspect(gr.Name, gr.Epoch, true, now)
+			ct.lease.core.HandleStallReport(gr.Name, gr.Epoch, true, now)
 		}
 		if ownProbe && (direct || ct.probing < maxProbes) {
 			ct.probing++
@@ -56,7 +56,7 @@
 	for _, gr := range ct.da.table.RecoveredGroups() {
 		groups = append(groups, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
-			ct.lease.core.Advances(gr.Name, gr.Epoch, now)
+			ct.lease.core.HandleProgressReport(gr.Name, gr.Epoch, now)
 		}
 	}
 	if len(groups) > 0 && ct.lease.core == nil {
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	defer ex.Close()
-	ca.sv.Heard(ep.Life(), ex.Response, begin)
+	ca.sv.Heard(ep.Instance(), ex.Response, begin)
 	body, err := ex.ReadAll(maxAnswer)
 	if err != nil {
 		err = &http1.Error{Verdict: verdict.MayHaveRun, Err: err}
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -45,7 +45,7 @@
 	// OnWrong is called when an endpoint says that it is not the one expected.
 	OnWrong func()
 	// OnLeaving is called when an endpoint has said in an answer that it stops soon.
-	OnLeaving func(catalog.Life)
+	OnLeaving func(catalog.Instance)
 	// Quarantine knows which requests end the servers that run them.
 	Quarantine *quarantine.Ledger
 	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -126,7 +126,7 @@
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.Heard(head.Life(), ex.Response, sent)
+	st.sv.Heard(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.other(part, ch, ex, sent)
 	}
@@ -311,7 +311,7 @@
 		} else if ch.Idle {
 			// It has room and takes nothing, so that it would look best again.
 			head := gr.Head()
-			st.sv.Backpressure.SetRefused(head.Life(), sent, st.sv.Clock.Now())
+			st.sv.Backpressure.SetRefused(head.Instance(), sent, st.sv.Clock.Now())
 		}
 		st.log.Info("front: group refused.", "group", gr.Name, "status", an.status)
 		return false
