--- a/internal/core/permit/permit.go
+++ b/internal/core/permit/permit.go
@@ -1,11 +1,13 @@
-// Package permit decides whether a daemon may send to a group now. The right
-// comes from evidence that expires: some daemon probed every member at a
-// known moment and found the group whole. A daemon that is frozen, cut off or
-// uninformed loses the right by the passing of time alone, without a message.
+// Package permit decides whether a daemon may send requests to a group at a
+// given moment. A permit is derived from evidence that expires: some daemon
+// probed every member of the group at a known time and found the group
+// complete. A daemon that is suspended, partitioned or out of date loses its
+// permits when they expire; no message is needed.
 //
-// All times are of this daemon's own clock. Evidence from a peer arrives as
-// an age, and is dated from the moment this daemon asked for it: however long
-// the answer took, the evidence can only look older than it is, never newer.
+// All times are read from the local daemon's clock. Evidence from a peer
+// carries an age instead of a time and is dated from the moment this daemon
+// sent its pull. Transfer delay can therefore make the evidence look older than
+// it is, never newer.
 package permit
 
 import (
@@ -14,41 +16,44 @@
 	"corianderhub.dev/corianderhub/internal/core/fleet"
 )
 
-// Evidence says that a group was whole at a moment.
+// Evidence states that a group was complete at a given time.
 type Evidence struct {
 	Group string
 	Fence uint64
-	// Leader is the VM that takes the group's requests.
+	// Leader is the name of the VM that accepts the group's requests.
 	Leader string
-	// At is when the oldest of the probes behind the evidence was sent.
+	// At is the time at which the oldest of the underlying probes was sent.
 	At   time.Time
 	Load fleet.Load
 }
 
-// Permit is the right to send to a group until it expires.
+// Permit allows requests to be sent to a group until Expires.
 type Permit struct {
 	Evidence
 	Expires time.Time
 }
 
-// Valid tells whether the permit may be used at now.
+// Valid reports whether the permit has not yet expired at now.
 func (pe Permit) Valid(now time.Time) bool { return now.Before(pe.Expires) }
 
-// Table holds the newest evidence for each group. Make it with NewTable.
+// Table holds the newest evidence and the last revocation of each group. Use
+// NewTable to create one. A Table is not safe for concurrent use.
 type Table struct {
-	// lifetime is how long evidence permits after it was gathered.
+	// lifetime is how long a permit lasts, counted from Evidence.At.
 	lifetime time.Duration
 	newest   map[string]Evidence
 	revoked  map[string]time.Time
 }
 
-// NewTable returns a table whose evidence permits for lifetime.
+// NewTable returns an empty table whose permits expire lifetime after their
+// evidence was gathered.
 func NewTable(lifetime time.Duration) *Table {
 	return &Table{lifetime: lifetime, newest: make(map[string]Evidence), revoked: make(map[string]time.Time)}
 }
 
-// Add keeps the evidence if it is newer than what is known and newer than the
-// last loss.
+// Add stores ev and reports whether it did. It ignores evidence that is not
+// newer than the group's last revocation, that has a lower fencing token than
+// the stored evidence, or that has the same token and is not newer.
 func (tb *Table) Add(ev Evidence) bool {
 	if at, ok := tb.revoked[ev.Group]; ok && !ev.At.After(at) {
 		return false
@@ -61,9 +66,10 @@
 	return true
 }
 
-// Revoke withdraws the right at once: a member was found missing, leaving or
-// of another incarnation at the moment at. Only evidence gathered after that
-// permits again. It tells whether a right was withdrawn.
+// Revoke withdraws the group's permit because a member was found missing,
+// leaving or restarted at the given time. Only evidence gathered after that
+// time grants a permit again. Revoke reports whether it removed stored
+// evidence.
 func (tb *Table) Revoke(group string, at time.Time) bool {
 	if !at.After(tb.revoked[group]) {
 		return false
@@ -77,7 +83,8 @@
 	return true
 }
 
-// Forget drops what is known of groups that keep is false for.
+// Forget removes the evidence and revocations of all groups for which keep
+// returns false.
 func (tb *Table) Forget(keep func(group string) bool) {
 	for group := range tb.newest {
 		if !keep(group) {
@@ -91,7 +98,8 @@
 	}
 }
 
-// Permit returns the right to send to gr, if there is one at now.
+// Permit returns the permit for gr and whether it is valid at now. Evidence for
+// another fencing token of the group does not count.
 func (tb *Table) Permit(gr fleet.Group, now time.Time) (Permit, bool) {
 	ev, ok := tb.newest[gr.ID]
 	if !ok || ev.Fence != gr.Fence {
@@ -101,7 +109,8 @@
 	return pe, pe.Valid(now)
 }
 
-// Fresh returns the evidence that is still valid at now, for a peer.
+// Fresh returns the evidence that still grants a permit at now. Peers receive
+// it in the answer to a pull.
 func (tb *Table) Fresh(now time.Time) []Evidence {
 	var evs []Evidence
 	for _, ev := range tb.newest {
