--- a/internal/core/gossip/gossip.go
+++ b/internal/core/gossip/gossip.go
@@ -1,11 +1,12 @@
-// Package gossip keeps a table of small documents that daemons copy from each
-// other: who the daemons are, the list of VMs and the assignment of each
-// fabric domain. Each document has one author at a time and a revision that
-// only grows; a table moves to higher revisions and never back.
+// Package gossip keeps a table of small documents that daemons replicate by
+// pulling from each other: the daemons themselves, the list of VMs, the
+// stewards, and the assignment of each fabric domain. A document has one author
+// at a time and a revision that only grows. A table accepts only revisions
+// higher than the stored one.
 //
-// Two daemons compare a hash of all names and revisions. Only when it differs
-// do they exchange the revisions and then the documents, so that the traffic
-// of a quiet system does not grow with the number of documents.
+// Daemons compare a hash of all names and revisions. They exchange revisions
+// and then documents only if the hashes differ, so in a steady state the
+// traffic does not depend on the number of documents.
 package gossip
 
 import (
@@ -15,23 +16,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Doc is one document.
+// Doc is a replicated document. Value holds its JSON encoding.
 type Doc struct {
 	Name     string
 	Revision uint64
 	Value    []byte
 }
 
-// Table holds the newest known document of each name. Make it with NewTable.
+// Table holds the newest received revision of each document. Use NewTable to
+// create one. A Table is not safe for concurrent use.
 type Table struct {
 	docs map[string]Doc
+	// hash is the XOR of docHash over all documents.
 	hash uint64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{docs: make(map[string]Doc)} }
 
-// Put stores the document if it is newer than the one known, and tells
+// Put stores do if its revision is higher than the stored one and reports
 // whether it did.
 func (tb *Table) Put(do Doc) bool {
 	old, ok := tb.docs[do.Name]
@@ -39,28 +42,30 @@
 		return false
 	}
 	if ok {
-		tb.hash ^= mark(old.Name, old.Revision)
+		tb.hash ^= docHash(old.Name, old.Revision)
 	}
-	tb.hash ^= mark(do.Name, do.Revision)
+	tb.hash ^= docHash(do.Name, do.Revision)
 	tb.docs[do.Name] = do
 	return true
 }
 
-// Drop forgets a document.
+// Drop removes the named document, if present.
 func (tb *Table) Drop(name string) {
 	if old, ok := tb.docs[name]; ok {
-		tb.hash ^= mark(old.Name, old.Revision)
+		tb.hash ^= docHash(old.Name, old.Revision)
 		delete(tb.docs, name)
 	}
 }
 
-// Get returns the document of that name; its revision is 0 if there is none.
+// Get returns the named document, or the zero Doc, with revision 0, if there is
+// none.
 func (tb *Table) Get(name string) Doc { return tb.docs[name] }
 
-// Hash identifies the set of names and revisions.
+// Hash returns a hash of the set of names and revisions. Two tables with equal
+// hashes are treated as equal.
 func (tb *Table) Hash() uint64 { return tb.hash }
 
-// Revisions returns the revision of each document.
+// Revisions returns the revision of each document by name.
 func (tb *Table) Revisions() map[string]uint64 {
 	revs := make(map[string]uint64, len(tb.docs))
 	for name, do := range tb.docs {
@@ -69,7 +74,8 @@
 	return revs
 }
 
-// Newer returns the documents that are newer than what a peer has.
+// Newer returns the documents whose revision is higher than the one in have, in
+// no particular order. A name missing from have counts as revision 0.
 func (tb *Table) Newer(have map[string]uint64) []Doc {
 	var docs []Doc
 	for name, do := range tb.docs {
@@ -80,10 +86,11 @@
 	return docs
 }
 
-// All returns the documents by name. The map is the caller's own.
+// All returns a copy of the table's documents by name.
 func (tb *Table) All() map[string]Doc { return maps.Clone(tb.docs) }
 
-func mark(name string, revision uint64) uint64 {
+// docHash returns the hash of one name and revision.
+func docHash(name string, revision uint64) uint64 {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], revision)
 	var di xxhash.Digest
