--- a/internal/core/control/action.go
+++ b/internal/core/control/action.go
@@ -4,75 +4,79 @@
 	"corianderhub.dev/corianderhub/internal/core/fleet"
 )
 
-// Action is something that the daemon has to do. The set is closed.
+// Action is an operation that the daemon performs on behalf of the Core. The
+// set of implementations is closed.
 type Action interface{ isAction() }
 
-// Probe asks the engine on a VM for its report.
+// Probe requests a report from the engine on a VM.
 type Probe struct{ VM fleet.VM }
 
-// Pull asks a peer for its digest. Revision is that of this daemon's own
-// document, by which the peer sees whether it knows this daemon.
+// Pull requests a peer's digest. Revision is the revision of this daemon's own
+// document; it lets the peer detect that its copy is missing or out of date.
 type Pull struct {
 	Peer     string
 	Revision uint64
 }
 
-// FetchDocs asks a peer for documents newer than Have.
+// FetchDocs requests the documents newer than the revisions in Have from a
+// peer.
 type FetchDocs struct {
 	Peer string
 	Have map[string]uint64
 }
 
-// FetchConfig asks a peer for the configuration after a revision.
+// FetchConfig requests the configuration changes after a revision from a peer.
 type FetchConfig struct {
 	Peer  string
 	After uint64
 }
 
-// ReadConfig reads the configuration after a revision from the platform. With
-// Wait the read waits for a change.
+// ReadConfig reads the configuration changes after a revision from the
+// platform. If Wait is set, the read blocks until there is a change.
 type ReadConfig struct {
 	After uint64
 	Wait  bool
 }
 
-// Announce tells peers that a group is not whole. It is not answered.
+// Announce tells peers that a group is no longer complete. No event answers it.
 type Announce struct {
 	Group string
 	Fence uint64
 	Peers []string
 }
 
-// PullSightings asks a daemon for the VMs whose sighting has changed since.
+// PullSightings requests, from a daemon that probes, the observations changed
+// after change number Since.
 type PullSightings struct {
 	Daemon string
 	Peer   string
 	Since  uint64
 }
 
-// AcquireLease tries to become the steward.
+// AcquireLease tries to acquire the steward's lease.
 type AcquireLease struct{}
 
 // RenewLease extends the steward's lease.
 type RenewLease struct{ Lease string }
 
-// DropLease gives the lease up. It is not answered.
+// DropLease releases the steward's lease. No event answers it.
 type DropLease struct{ Lease string }
 
-// ReadDomains reads the written assignments of the data center, or of Only
-// that domain.
+// ReadDomains reads the stored assignments of this data centre, or only that of
+// domain Only if it is not empty.
 type ReadDomains struct{ Only string }
 
-// ReadVMs reads the platform's list.
+// ReadVMs reads the list of VMs from the platform.
 type ReadVMs struct{}
 
-// WriteDomain writes an assignment if its key is at IfRevision.
+// WriteDomain stores an assignment by compare-and-swap: the write succeeds only
+// if its key is at revision IfRevision.
 type WriteDomain struct {
 	Domain     fleet.Domain
 	IfRevision uint64
 }
 
-// SendOrder sends an order to an engine.
+// SendOrder sends an order to the engine on the order's target VM.
 type SendOrder struct{ Order fleet.Order }
 
 func (Probe) isAction()         {}
@@ -90,18 +94,19 @@
 func (WriteDomain) isAction()   {}
 func (SendOrder) isAction()     {}
 
-// Prefixes of the keys in Core.flying.
+// Keys and key prefixes of Core.inFlight.
 const (
-	flyPull      = "pull/"
-	flyDocs      = "docs/"
-	flyProbe     = "probe/"
-	flyOrder     = "order/"
-	flyWrite     = "write/"
-	flySightings = "sightings/"
-	flyLease     = "lease"
-	flyDomains   = "domains"
-	flyVMs       = "vms"
-	// FlyPeerConfig and FlyPlatformConfig are the sources in ConfigArrived.
+	keyPull         = "pull/"
+	keyDocs         = "docs/"
+	keyProbe        = "probe/"
+	keyOrder        = "order/"
+	keyWrite        = "write/"
+	keyObservations = "sightings/"
+	keyLease        = "lease"
+	keyDomains      = "domains"
+	keyVMs          = "vms"
+	// FlyPeerConfig and FlyPlatformConfig are also the values of
+	// ConfigArrived.Source.
 	FlyPeerConfig     = "config-peer"
 	FlyPlatformConfig = "config-platform"
 )
--- a/internal/core/control/check_test.go
+++ b/internal/core/control/check_test.go
@@ -9,8 +9,9 @@
 	"corianderhub.dev/corianderhub/internal/platform"
 )
 
-// noteWhole remembers which groups are whole in truth.
-func (w *world) noteWhole() {
+// recordCompleteGroups records which groups are complete according to the
+// engines.
+func (w *simulation) recordCompleteGroups() {
 	for _, name := range w.names {
 		no := w.daemons[name]
 		if no.core == nil {
@@ -18,48 +19,53 @@
 		}
 		for _, dom := range no.core.Domains() {
 			for _, gr := range dom.Groups {
-				if _, ok := gr.Whole(w.truth); ok {
-					w.whole[wholeKey(gr)] = w.clock.Now()
+				if _, ok := gr.Whole(w.actualReport); ok {
+					w.lastComplete[groupKey(gr)] = w.clock.Now()
 				}
 			}
 		}
 	}
 }
 
-func wholeKey(gr fleet.Group) string { return fmt.Sprintf("%s/%d", gr.ID, gr.Fence) }
+// groupKey identifies a group at a fencing token.
+func groupKey(gr fleet.Group) string { return fmt.Sprintf("%s/%d", gr.ID, gr.Fence) }
 
-// check verifies what must always hold, from the view of one daemon.
-func (w *world) check(no *node) {
+// check verifies the invariants on the state of one daemon and on the stored
+// assignments: every valid permit is for a group that was complete within the
+// permit lifetime, no two permits share a VM, and the configuration revision
+// never decreases.
+func (w *simulation) check(no *node) {
 	w.t.Helper()
-	w.noteWhole()
+	w.recordCompleteGroups()
 	now := w.clock.Now()
 	owner := make(map[string]string)
 	for _, ta := range no.core.View().Groups {
 		if !ta.Permit.Valid(now) {
 			continue
 		}
-		age := now.Sub(w.whole[wholeKey(ta.Group)])
+		age := now.Sub(w.lastComplete[groupKey(ta.Group)])
 		if age > no.set.Timing.Permit {
-			w.t.Fatalf("%s may send to %s, which was last whole %v ago", no.name, ta.Group.ID, age)
+			w.t.Fatalf("%s holds a permit for %s, which was last complete %v ago", no.name, ta.Group.ID, age)
 		}
 		for _, me := range ta.Group.Members {
 			if other, ok := owner[me.VM]; ok {
-				w.t.Fatalf("%s may send to %s and %s, which share %s", no.name, other, ta.Group.ID, me.VM)
+				w.t.Fatalf("%s holds permits for %s and %s, which share VM %s", no.name, other, ta.Group.ID, me.VM)
 			}
 			owner[me.VM] = ta.Group.ID
 		}
 	}
 	cfg, _ := no.core.Config()
 	if cfg.Revision < no.revision {
-		w.t.Fatalf("%s went back from revision %d to %d", no.name, no.revision, cfg.Revision)
+		w.t.Fatalf("%s: configuration revision decreased from %d to %d", no.name, no.revision, cfg.Revision)
 	}
 	no.revision = cfg.Revision
 	w.checkStored()
 }
 
-// checkStored verifies the written assignments.
-func (w *world) checkStored() {
-	entries, err := w.peek()
+// checkStored verifies the stored assignments: each is valid, its sequence
+// number never decreases, and no VM is in two groups.
+func (w *simulation) checkStored() {
+	entries, err := w.listDomains()
 	if err != nil {
 		return
 	}
@@ -70,16 +76,16 @@
 			w.t.Fatal(err)
 		}
 		if err := dom.Check(); err != nil {
-			w.t.Fatalf("written: %v", err)
+			w.t.Fatalf("stored assignment is invalid: %v", err)
 		}
-		if dom.Sequence < w.stored[en.Key] {
-			w.t.Fatalf("written: %s went back from sequence %d to %d", en.Key, w.stored[en.Key], dom.Sequence)
+		if dom.Sequence < w.maxSequence[en.Key] {
+			w.t.Fatalf("stored assignment %s: sequence decreased from %d to %d", en.Key, w.maxSequence[en.Key], dom.Sequence)
 		}
-		w.stored[en.Key] = dom.Sequence
+		w.maxSequence[en.Key] = dom.Sequence
 		for _, gr := range dom.Groups {
 			for _, me := range gr.Members {
 				if other, ok := owner[me.VM]; ok {
-					w.t.Fatalf("written: %s is in %s and %s", me.VM, other, gr.ID)
+					w.t.Fatalf("stored assignments: VM %s is in groups %s and %s", me.VM, other, gr.ID)
 				}
 				owner[me.VM] = gr.ID
 			}
@@ -87,20 +93,21 @@
 	}
 }
 
-// peek reads the assignments whatever the platform's faults are.
-func (w *world) peek() ([]platform.Entry, error) {
+// listDomains reads the stored assignments. It fails only while the platform is
+// down, regardless of other injected faults.
+func (w *simulation) listDomains() ([]platform.Entry, error) {
 	if w.faults.Down {
 		return nil, platform.ErrUnavailable
 	}
 	return w.store.List(context.Background(), "domains/")
 }
 
-// dump describes the world for a failure's message.
-func (w *world) dump() string {
+// dump returns the state of all daemons and engines for failure messages.
+func (w *simulation) dump() string {
 	text := ""
 	for _, name := range w.names {
 		no := w.daemons[name]
-		text += fmt.Sprintf("%s frozen=%v running=%v", name, no.frozen, no.core != nil)
+		text += fmt.Sprintf("%s suspended=%v running=%v", name, no.suspended, no.core != nil)
 		if no.core != nil {
 			cfg, _ := no.core.Config()
 			text += fmt.Sprintf(" serving=%d revision=%d steward=%+v domains=%+v", no.serving(w.clock.Now()), cfg.Revision, no.core.Steward(), no.core.Domains())
--- a/internal/core/control/config.go
+++ b/internal/core/control/config.go
@@ -5,36 +5,39 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// bootConfig asks the platform for the configuration while a new daemon has
-// none. Peers come first: after an outage many daemons start at once, and the
-// platform should not have to serve each of them.
-func (co *Core) bootConfig() {
-	if co.cfgKnown || co.now.Sub(co.started) < bootWait && len(co.set.Seeds) > 0 {
+// fetchInitialConfig reads the configuration from the platform while this
+// daemon has none. It waits for peers first: after an outage many daemons start
+// at once, and the platform should not have to serve all of them.
+func (co *Core) fetchInitialConfig() {
+	if co.cfgKnown || co.now.Sub(co.started) < peerConfigWait && len(co.set.Seeds) > 0 {
 		return
 	}
-	if co.every("boot-config", bootWait) {
+	if co.due("boot-config", peerConfigWait) {
 		co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision})
 	}
 }
 
-// configArrived moves to the newest configuration. It never moves back:
-// a read may be served stale and a peer may lag.
+// configArrived applies a newer configuration. It never goes back to an older
+// revision, because platform reads may be stale and peers may lag.
 func (co *Core) configArrived(ev ConfigArrived) {
-	delete(co.flying, ev.Source)
+	delete(co.inFlight, ev.Source)
 	if ev.Known {
 		co.cfgKnown = true
 	}
 	if ev.Snapshot != nil && ev.Snapshot.Revision > co.cfg.Revision {
 		co.cfg = ev.Snapshot
 		co.cfgKnown = true
-		co.entries = nil
+		co.recentEntries = nil
 	}
 	for _, en := range ev.Entries {
-		co.advance(en)
+		co.applyEntry(en)
 	}
 }
 
-func (co *Core) advance(en chain.Entry) {
+// applyEntry applies the configuration entry that directly follows the current
+// revision and keeps it for peers. It ignores any other entry and entries that
+// do not apply.
+func (co *Core) applyEntry(en chain.Entry) {
 	if en.Revision != co.cfg.Revision+1 {
 		return
 	}
@@ -44,30 +47,34 @@
 	}
 	co.cfg = next
 	co.cfgKnown = true
-	co.entries = append(co.entries, en)
-	if len(co.entries) > keptEntries {
-		co.entries = append([]chain.Entry(nil), co.entries[len(co.entries)-keptEntries/2:]...)
+	co.recentEntries = append(co.recentEntries, en)
+	if len(co.recentEntries) > maxRecentEntries {
+		co.recentEntries = append([]chain.Entry(nil), co.recentEntries[len(co.recentEntries)-maxRecentEntries/2:]...)
 	}
 }
 
-// ConfigAnswer brings a peer from the revision it named to this daemon's.
+// ConfigAnswer updates a peer from the revision it requested to the one of this
+// daemon.
 type ConfigAnswer struct {
+	// Known reports whether the answering daemon has a configuration.
 	Known bool `cbor:"1,keyasint"`
-	// Pieces hold the whole configuration when the entries do not reach back
-	// far enough.
+	// Pieces hold the whole configuration if the recent entries do not reach
+	// back to the requested revision.
 	Pieces  []chain.Piece `cbor:"2,keyasint,omitempty"`
 	Entries []chain.Entry `cbor:"3,keyasint,omitempty"`
 }
 
-// ConfigAfter answers a peer that has the configuration up to revision after.
+// ConfigAfter returns the update for a peer that has the configuration up to
+// revision after. The error, if any, comes from encoding the whole
+// configuration.
 func (co *Core) ConfigAfter(after uint64) (ConfigAnswer, error) {
 	an := ConfigAnswer{Known: co.cfgKnown}
 	if after >= co.cfg.Revision {
 		return an, nil
 	}
-	first := co.cfg.Revision - uint64(len(co.entries)) + 1
+	first := co.cfg.Revision - uint64(len(co.recentEntries)) + 1
 	if after+1 >= first {
-		an.Entries = co.entries[after+1-first:]
+		an.Entries = co.recentEntries[after+1-first:]
 		return an, nil
 	}
 	var err error
@@ -75,5 +82,6 @@
 	return an, err
 }
 
-// Config returns the configuration in force and whether it is known yet.
+// Config returns the configuration in force, and whether it has been received
+// yet. The result must not be modified.
 func (co *Core) Config() (*intent.Config, bool) { return co.cfg, co.cfgKnown }
--- a/internal/core/control/config_test.go
+++ b/internal/core/control/config_test.go
@@ -10,12 +10,13 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-// revisionEverywhere tells whether all running daemons have the revision.
-func (w *world) revisionEverywhere(revision uint64) func() bool {
+// revisionInForce returns a condition that holds once all running daemons have
+// at least the given configuration revision.
+func (w *simulation) revisionInForce(revision uint64) func() bool {
 	return func() bool {
 		for _, name := range w.names {
 			no := w.daemons[name]
-			if no.core == nil || no.frozen {
+			if no.core == nil || no.suspended {
 				continue
 			}
 			if cfg, _ := no.core.Config(); cfg.Revision < revision {
@@ -31,15 +32,17 @@
 }
 
 func TestHoldConfig(t *testing.T) {
-	// forceLimit is within how long a change is in force everywhere.
+	// forceLimit is the time within which a change must be in force on all
+	// daemons.
 	const forceLimit = 9 * time.Second
 	tests := []struct {
 		name string
-		run  func(t *testing.T, w *world)
+		run  func(t *testing.T, w *simulation)
 	}{
-		// Two operators apply at the same moment through different daemons.
-		// Both are accepted, one after the other, and both changes stay.
-		{"operator-race", func(t *testing.T, w *world) {
+		// Two operators apply changes at the same time through different
+		// daemons. Both changes are accepted, one after the other, and neither
+		// overwrites the other.
+		{"operator-race", func(t *testing.T, w *simulation) {
 			if _, err := w.apply(w.daemons["d1"], "one", workspace("one", 1)); err != nil {
 				t.Fatal(err)
 			}
@@ -47,7 +50,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.until("both in force", forceLimit, w.revisionEverywhere(revision))
+			w.waitFor("both changes are in force", forceLimit, w.revisionInForce(revision))
 			for _, name := range w.names {
 				cfg, _ := w.daemons[name].core.Config()
 				if len(cfg.Workspaces) != 2 {
@@ -55,9 +58,10 @@
 				}
 			}
 		}},
-		// The write of the head takes effect and its answer is lost. The apply
-		// finds its own operation and does not write a second time.
-		{"lost-answer", func(t *testing.T, w *world) {
+		// The write of the configuration head takes effect but its answer is
+		// lost. The apply recognizes its own operation and does not write it
+		// again.
+		{"lost-answer", func(t *testing.T, w *simulation) {
 			w.setFaults(standin.StoreFaults{LoseAnswers: 2})
 			before, _ := w.daemons["d1"].core.Config()
 			revision, err := w.apply(w.daemons["d1"], "one", workspace("one", 1))
@@ -72,37 +76,39 @@
 				t.Errorf("repeated apply = %d, %v; want %d", again, err, revision)
 			}
 		}},
-		// The platform is down: an apply is refused as not run, and what is in
-		// force stays so. Afterwards the same operation goes through.
-		{"platform-outage", func(t *testing.T, w *world) {
+		// While the platform is down, an apply is rejected without effect and
+		// the configuration in force stays. Afterwards the same operation
+		// succeeds.
+		{"platform-outage", func(t *testing.T, w *simulation) {
 			w.setFaults(standin.StoreFaults{Down: true})
 			if _, err := w.apply(w.daemons["d1"], "one", workspace("one", 1)); err == nil {
-				t.Error("an apply was accepted while the platform is down")
+				t.Error("apply succeeded while the platform is down, want an error")
 			}
-			w.run(time.Minute)
+			w.advance(time.Minute)
 			w.setFaults(standin.StoreFaults{})
 			revision, err := w.apply(w.daemons["d1"], "one", workspace("one", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.until("in force", forceLimit, w.revisionEverywhere(revision))
+			w.waitFor("change is in force", forceLimit, w.revisionInForce(revision))
 		}},
-		// A daemon boots while the platform is down. It takes the newest
-		// configuration from its peers and only then counts as ready.
-		{"kill", func(t *testing.T, w *world) {
+		// A daemon starts while the platform is down. It is ready only after it
+		// has received the newest configuration from its peers.
+		{"kill", func(t *testing.T, w *simulation) {
 			want, _ := w.daemons["d1"].core.Config()
 			w.setFaults(standin.StoreFaults{Down: true})
 			w.daemons["d3"].kill()
-			w.run(5 * time.Second)
+			w.advance(5 * time.Second)
 			w.start(w.daemons["d3"])
-			w.until("ready from its peers", forceLimit, func() bool { return w.daemons["d3"].core.View().Ready })
+			w.waitFor("daemon is ready with its peers' configuration", forceLimit, func() bool { return w.daemons["d3"].core.View().Ready })
 			if got, _ := w.daemons["d3"].core.Config(); got.Revision != want.Revision {
-				t.Errorf("ready at revision %d, want %d", got.Revision, want.Revision)
+				t.Errorf("daemon is ready at revision %d, want %d", got.Revision, want.Revision)
 			}
 		}},
-		// A daemon is frozen over several changes and wakes up.
-		{"freeze", func(t *testing.T, w *world) {
-			w.daemons["d3"].frozen = true
+		// A daemon is suspended during several changes and catches up
+		// afterwards.
+		{"freeze", func(t *testing.T, w *simulation) {
+			w.daemons["d3"].suspended = true
 			var revision uint64
 			for i := range 5 {
 				var err error
@@ -110,14 +116,14 @@
 					t.Fatal(err)
 				}
 			}
-			w.run(5 * time.Second)
-			w.thaw(w.daemons["d3"])
-			w.until("caught up", forceLimit, w.revisionEverywhere(revision))
+			w.advance(5 * time.Second)
+			w.resume(w.daemons["d3"])
+			w.waitFor("daemon has caught up", forceLimit, w.revisionInForce(revision))
 		}},
-		// A daemon that is cut off from its data center catches up with more
-		// changes than its peers keep as entries, by a snapshot.
-		{"cut", func(t *testing.T, w *world) {
-			w.cut = func(a, b string) bool { return a == "d3" || b == "d3" }
+		// A partitioned daemon misses more changes than its peers keep as
+		// entries. It catches up from a snapshot.
+		{"cut", func(t *testing.T, w *simulation) {
+			w.partitioned = func(a, b string) bool { return a == "d3" || b == "d3" }
 			var revision uint64
 			for i := range 300 {
 				var err error
@@ -125,29 +131,30 @@
 					t.Fatal(err)
 				}
 			}
-			w.run(time.Second)
-			w.cut = func(string, string) bool { return false }
-			w.until("caught up", forceLimit, w.revisionEverywhere(revision))
+			w.advance(time.Second)
+			w.partitioned = func(string, string) bool { return false }
+			w.waitFor("daemon has caught up", forceLimit, w.revisionInForce(revision))
 			cfg, _ := w.daemons["d3"].core.Config()
 			if got := cfg.Workspaces["one"].Share; got != 300 {
 				t.Errorf("share = %v, want 300", got)
 			}
 		}},
-		// The steward reads an old head: a stale read never takes it back.
-		{"stale-read", func(t *testing.T, w *world) {
+		// A stale read from the platform must not replace a newer
+		// configuration.
+		{"stale-read", func(t *testing.T, w *simulation) {
 			no := w.daemons["d1"]
 			if _, err := w.apply(no, "one", workspace("one", 1)); err != nil {
 				t.Fatal(err)
 			}
 			cfg, _ := no.core.Config()
 			old := cfg.With(intent.Change{}, cfg.Revision-1)
-			w.deliver(no, no.life, control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: old})
+			w.deliver(no, no.incarnation, control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: old})
 			if now, _ := no.core.Config(); now.Revision != cfg.Revision {
 				t.Errorf("revision = %d after a stale read, want %d", now.Revision, cfg.Revision)
 			}
 		}},
 	}
 	for _, tc := range tests {
-		t.Run(tc.name, func(t *testing.T) { tc.run(t, gent(t, 4)) })
+		t.Run(tc.name, func(t *testing.T) { tc.run(t, newServingSimulation(t, 4)) })
 	}
 }
--- a/internal/core/control/control.go
+++ b/internal/core/control/control.go
@@ -1,10 +1,11 @@
-// Package control is the daemon's control state: events in, actions out,
-// without input or output of its own. The daemon feeds it from one goroutine
-// and carries out its actions; a test or a recorded trace can do the same.
+// Package control implements the daemon's control state as a state machine: it
+// takes events, returns actions, and does no I/O itself. The daemon feeds it
+// from one goroutine and performs its actions; tests and recorded traces do the
+// same.
 //
-// It joins four parts: the documents that daemons copy from each other, the
-// probing of endpoints with the permits that follow, the configuration, and
-// the steward's work for its data center.
+// It combines four parts: the documents replicated between daemons, the probing
+// of engines and the permits that result from it, the configuration, and the
+// work of the steward of this data centre.
 package control
 
 import (
@@ -17,41 +18,43 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// Settings are fixed for the life of a Core.
+// Settings configure a Core and do not change afterwards.
 type Settings struct {
 	Name       string
 	DataCenter string
 	Region     string
-	// Caller and Peer are this daemon's addresses for callers and daemons.
+	// Caller and Peer are this daemon's addresses (host:port) for callers and
+	// for other daemons.
 	Caller string
 	Peer   string
-	// Seeds are peer addresses to start from.
+	// Seeds are the peer addresses to contact before any daemon is known, and
+	// from time to time later.
 	Seeds  []string
 	Timing Timing
-	// Policy selects the planner's decisions.
+	// Policy parameterizes the planner.
 	Policy fleet.Policy
 }
 
-// Timing holds the intervals of the control work.
+// Timing holds the intervals and limits of the control state.
 type Timing struct {
-	// Probe is the pause between two probes of a VM whose group has no newer
-	// evidence; Sweep is the pause while requests prove the group whole.
+	// Probe is the interval between probes of a VM. Sweep replaces it while
+	// requests prove that the VM's group is complete.
 	Probe time.Duration
 	Sweep time.Duration
-	// Permit is the lifetime of evidence.
+	// Permit is the lifetime of a permit, counted from its evidence.
 	Permit time.Duration
-	// Pull is the pause between two rounds of pulls from peers.
+	// Pull is the interval between rounds of pulls from peers.
 	Pull time.Duration
-	// Lease is the steward's lease, List the pause between two reads of the
-	// list of VMs.
+	// Lease is the duration of the steward's lease, and List the interval
+	// between the steward's reads of the VM list.
 	Lease time.Duration
 	List  time.Duration
-	// ProbeBytes is what probing may cost in bytes a second; the pause
-	// between probes grows with the number of VMs to stay below it.
+	// ProbeBytes limits probe traffic, in bytes per second. The probe interval
+	// grows with the number of VMs to stay below it; 0 means no limit.
 	ProbeBytes int
 }
 
-// DefaultTiming suits some dozens of VMs in each data center.
+// DefaultTiming suits a few dozen VMs per data centre.
 var DefaultTiming = Timing{
 	Probe:      500 * time.Millisecond,
 	Sweep:      5 * time.Second,
@@ -63,95 +66,115 @@
 }
 
 const (
-	// pullPeers is how many peers are pulled from in a round.
-	pullPeers = 3
-	// nearPartners and farPartners are how many daemons of its own data center
-	// and of others a daemon pulls from, besides the next by name.
-	nearPartners = 5
-	farPartners  = 3
-	// probers is how many daemons probe a group.
-	probers = 2
-	// probeCost is what one probe takes on the wire, both ways, in bytes.
-	probeCost = 400
-	// deadAfter is how many pulls in a row must fail before a daemon is
-	// declared dead.
-	deadAfter = 3
-	// keptEntries is how many configuration entries are kept for peers.
-	keptEntries = 4 * chain.SnapshotEvery
-	// bootWait is how long a new daemon asks its peers for the configuration
-	// before it asks the platform.
-	bootWait = time.Second
+	// pullFanout is the number of peers pulled from per round.
+	pullFanout = 3
+	// localPartners and remotePartners are the numbers of daemons in this and
+	// in other data centres that a daemon pulls from, in addition to its
+	// successor by name.
+	localPartners  = 5
+	remotePartners = 3
+	// probersPerGroup is the number of daemons that probe each group.
+	probersPerGroup = 2
+	// probeWireBytes is the approximate size of one probe and its report on the
+	// wire.
+	probeWireBytes = 400
+	// deadAfterFailures is the number of consecutive failed pulls after which a
+	// daemon is declared dead.
+	deadAfterFailures = 3
+	// maxRecentEntries limits the configuration entries kept for peers.
+	maxRecentEntries = 4 * chain.SnapshotEvery
+	// peerConfigWait is how long a new daemon waits for a configuration from
+	// its peers before it reads the platform, and the interval between its
+	// reads.
+	peerConfigWait = time.Second
 )
 
-// Core is the control state of one daemon. Make it with New.
+// Core is the control state of one daemon. Use New to create one. A Core is not
+// safe for concurrent use.
 type Core struct {
 	set     Settings
 	started time.Time
 	now     time.Time
-	acts    []Action
-	// flying marks actions whose answer is awaited.
-	flying map[string]bool
-	// sent holds when a repeated action was last emitted, by its key.
-	sent map[string]time.Time
-
-	docs    *gossip.Table
-	daemons map[string]gossip.Daemon
-	fails   map[string]int
-	suspect []string
-	round   uint64
-	state   gossip.State
+	actions []Action
+	// inFlight holds the keys of actions that have not been answered yet.
+	inFlight map[string]bool
+	// lastRun holds the last time that due returned true, by key.
+	lastRun map[string]time.Time
+
+	docs *gossip.Table
+	// daemons holds the known daemons by name; pullFailures counts consecutive
+	// failed pulls by peer address; suspects are the peer addresses to retry in
+	// the next round.
+	daemons      map[string]gossip.Daemon
+	pullFailures map[string]int
+	suspects     []string
+	round        uint64
+	state        gossip.State
 
 	cfg      *intent.Config
 	cfgKnown bool
-	entries  []chain.Entry
-
-	domains map[string]fleet.Domain
-	vms     map[string]fleet.VM
-	groups  map[string]fleet.Group
-	byHash  map[uint64]string
-	permits *permit.Table
-	probing map[string]assignment
-	seen    map[string]*sighting
-	dropped map[string]uint64
-	changes uint64
-	rings   map[string][]string
+	// recentEntries are the newest configuration entries, without gaps and up
+	// to the revision of cfg.
+	recentEntries []chain.Entry
+
+	// domains holds the assignments of all data centres by document name, vms
+	// the VM list of this data centre by name, and groups the groups in domains
+	// by ID. groupByHash maps a GroupDigest.Hash to a group ID.
+	domains     map[string]fleet.Domain
+	vms         map[string]fleet.VM
+	groups      map[string]fleet.Group
+	groupByHash map[uint64]string
+	permits     *permit.Table
+	// probing holds the VMs that this daemon probes, and observations the
+	// results, both by VM name. droppedAt holds the change number at which the
+	// probing of a VM ended.
+	probing      map[string]probeAssignment
+	observations map[string]*observation
+	droppedAt    map[string]uint64
+	// changeSeq is the number of the last change to observations or droppedAt.
+	changeSeq uint64
+	// rings holds, by group ID, the VM names of the ring in which each group
+	// was last observed complete.
+	rings map[string][]string
 
 	steward stewardState
 }
 
-// New returns the control state of a daemon that starts at now.
+// New returns the control state of a daemon that starts at now. The revision of
+// its own document starts from the time in milliseconds, so that it exceeds
+// those of earlier runs.
 func New(set Settings, now time.Time) *Core {
 	co := &Core{
-		set:     set,
-		started: now,
-		now:     now,
-		flying:  make(map[string]bool),
-		sent:    make(map[string]time.Time),
-		docs:    gossip.NewTable(),
-		daemons: make(map[string]gossip.Daemon),
-		fails:   make(map[string]int),
-		state:   gossip.Serving,
-		cfg:     intent.New(),
-		domains: make(map[string]fleet.Domain),
-		vms:     make(map[string]fleet.VM),
-		groups:  make(map[string]fleet.Group),
-		byHash:  make(map[uint64]string),
-		permits: permit.NewTable(set.Timing.Permit),
-		probing: make(map[string]assignment),
-		seen:    make(map[string]*sighting),
-		dropped: make(map[string]uint64),
-		rings:   make(map[string][]string),
-		steward: newSteward(),
+		set:          set,
+		started:      now,
+		now:          now,
+		inFlight:     make(map[string]bool),
+		lastRun:      make(map[string]time.Time),
+		docs:         gossip.NewTable(),
+		daemons:      make(map[string]gossip.Daemon),
+		pullFailures: make(map[string]int),
+		state:        gossip.Serving,
+		cfg:          intent.New(),
+		domains:      make(map[string]fleet.Domain),
+		vms:          make(map[string]fleet.VM),
+		groups:       make(map[string]fleet.Group),
+		groupByHash:  make(map[uint64]string),
+		permits:      permit.NewTable(set.Timing.Permit),
+		probing:      make(map[string]probeAssignment),
+		observations: make(map[string]*observation),
+		droppedAt:    make(map[string]uint64),
+		rings:        make(map[string][]string),
+		steward:      newSteward(),
 	}
 	co.publishSelf(uint64(now.UnixMilli()) << 8)
 	return co
 }
 
-// Step takes one event at now and returns the actions that follow from it.
-// Every action other than Announce is answered by an event.
+// Step processes one event at now and returns the resulting actions. Every
+// action except Announce and DropLease is answered by an event.
 func (co *Core) Step(now time.Time, ev Event) []Action {
 	co.now = now
-	co.acts = nil
+	co.actions = nil
 	switch ev := ev.(type) {
 	case Tick:
 		co.tick()
@@ -160,13 +183,13 @@
 	case Probed:
 		co.probed(ev)
 	case Answered:
-		co.answered(ev)
+		co.responseStarted(ev)
 	case Pulled:
 		co.pulled(ev)
 	case PullFailed:
 		co.pullFailed(ev)
 	case Asked:
-		co.asked(ev)
+		co.pullReceived(ev)
 	case DocsArrived:
 		co.docsArrived(ev)
 	case ConfigArrived:
@@ -174,7 +197,7 @@
 	case Revoked:
 		co.revoked(ev)
 	case SightingsArrived:
-		co.sightingsArrived(ev)
+		co.observationsArrived(ev)
 	case LeaseWon, LeaseRenewed, LeaseFailed, LeaseLost:
 		co.leaseEvent(ev)
 	case DomainsRead, DomainWritten, DomainUncertain:
@@ -182,34 +205,35 @@
 	case VMsRead:
 		co.vmsRead(ev)
 	case OrderDone:
-		delete(co.flying, flyOrder+ev.VM)
+		delete(co.inFlight, keyOrder+ev.VM)
 	}
-	return co.acts
+	return co.actions
 }
 
-func (co *Core) emit(ac Action) { co.acts = append(co.acts, ac) }
+func (co *Core) emit(ac Action) { co.actions = append(co.actions, ac) }
 
-// emitOnce emits an action unless an earlier one under that key is awaited.
+// emitOnce emits ac unless an action with the same key is in flight.
 func (co *Core) emitOnce(key string, ac Action) {
-	if co.flying[key] {
+	if co.inFlight[key] {
 		return
 	}
-	co.flying[key] = true
+	co.inFlight[key] = true
 	co.emit(ac)
 }
 
-// every tells whether pause has passed since it last said so for key.
-func (co *Core) every(key string, pause time.Duration) bool {
-	if at, ok := co.sent[key]; ok && co.now.Sub(at) < pause {
+// due reports whether at least pause has passed since it last returned true for
+// key.
+func (co *Core) due(key string, pause time.Duration) bool {
+	if at, ok := co.lastRun[key]; ok && co.now.Sub(at) < pause {
 		return false
 	}
-	co.sent[key] = co.now
+	co.lastRun[key] = co.now
 	return true
 }
 
 func (co *Core) tick() {
 	co.pullRound()
 	co.probeRound()
-	co.bootConfig()
+	co.fetchInitialConfig()
 	co.stewardRound()
 }
--- a/internal/core/control/engine_test.go
+++ b/internal/core/control/engine_test.go
@@ -8,37 +8,40 @@
 	"corianderhub.dev/corianderhub/internal/core/fleet"
 )
 
-// engine is a VM's engine.
+// engine simulates the engine on a VM.
 type engine struct {
 	vm          fleet.VM
 	incarnation string
-	down        bool
-	silent      bool
-	leaving     bool
-	unchecked   bool
-	loadTime    time.Duration
-	report      fleet.Report
-	life        int
-	generation  int
-	loads       int
-	orders      int
+	// A down engine refuses connections; an unresponsive one accepts them and
+	// never answers. An engine that ignores fencing follows outdated orders.
+	down           bool
+	unresponsive   bool
+	leaving        bool
+	ignoresFencing bool
+	loadTime       time.Duration
+	report         fleet.Report
+	bootCount      int
+	// loadSeq changes with every order and boot that ends a load in progress.
+	loadSeq    int
+	loadCount  int
+	orderCount int
 }
 
-// boot starts the engine afresh.
+// boot starts or restarts the engine with an empty state.
 func (en *engine) boot() {
-	en.life++
-	en.incarnation = fmt.Sprintf("boot-%d", en.life)
-	en.down, en.silent, en.leaving = false, false, false
+	en.bootCount++
+	en.incarnation = fmt.Sprintf("boot-%d", en.bootCount)
+	en.down, en.unresponsive, en.leaving = false, false, false
 	en.report = fleet.Report{VM: en.vm.Name, Incarnation: en.incarnation}
-	en.generation++
+	en.loadSeq++
 }
 
-func (w *world) probe(no *node, ac control.Probe, now time.Time) {
+func (w *simulation) probe(no *node, ac control.Probe, now time.Time) {
 	failed := control.Probed{VM: ac.VM.Name, SentAt: now}
 	w.call(no, ac.VM.Name, failed, func(answer func(control.Event)) {
 		en := w.engines[ac.VM.Name]
 		switch {
-		case en.silent:
+		case en.unresponsive:
 		case en.down:
 			answer(control.Probed{VM: ac.VM.Name, SentAt: now, Refused: true})
 		default:
@@ -49,29 +52,29 @@
 	})
 }
 
-func (w *world) order(no *node, ac control.SendOrder) {
+func (w *simulation) order(no *node, ac control.SendOrder) {
 	vm := ac.Order.Target().Name
 	w.call(no, vm, control.OrderDone{VM: vm}, func(answer func(control.Event)) {
 		en := w.engines[vm]
-		if en.silent {
+		if en.unresponsive {
 			return
 		}
 		if !en.down {
-			w.obey(en, ac.Order)
+			w.applyOrder(en, ac.Order)
 		}
 		answer(control.OrderDone{VM: vm})
 	})
 }
 
-// obey follows an order as the engines do.
-func (w *world) obey(en *engine, or fleet.Order) {
+// applyOrder applies an order in the way the engines do.
+func (w *simulation) applyOrder(en *engine, or fleet.Order) {
 	switch or := or.(type) {
 	case fleet.Join:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Group.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Group.Fence, or.Turn) {
 			return
 		}
-		en.orders++
-		en.generation++
+		en.orderCount++
+		en.loadSeq++
 		re := &en.report
 		re.Group, re.Fence, re.Turn, re.Role, re.Adapters = or.Group.ID, or.Group.Fence, or.Turn, or.Group.Role, or.Group.Adapters
 		re.Ring = nil
@@ -83,43 +86,46 @@
 			return
 		}
 		re.Ready = false
-		generation := en.generation
-		w.at(en.loadTime, func() {
-			if en.generation == generation && !en.down {
-				en.loads++
+		loadSeq := en.loadSeq
+		w.after(en.loadTime, func() {
+			if en.loadSeq == loadSeq && !en.down {
+				en.loadCount++
 				re.Model, re.Version, re.Ready = or.Group.Model, or.Group.Version, true
 			}
 		})
 	case fleet.Prepare:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Turn) {
 			return
 		}
-		en.generation++
-		re, generation := &en.report, en.generation
+		en.loadSeq++
+		re, loadSeq := &en.report, en.loadSeq
 		re.Fence, re.Turn = or.Fence, or.Turn
-		w.at(en.loadTime, func() {
-			if en.generation == generation && !en.down {
-				en.loads++
+		w.after(en.loadTime, func() {
+			if en.loadSeq == loadSeq && !en.down {
+				en.loadCount++
 				re.Model, re.Version = or.Model, or.Version
 			}
 		})
 	case fleet.Release:
-		if or.Incarnation != en.incarnation || !en.unchecked && old(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Turn) {
 			return
 		}
-		en.orders++
-		en.generation++
+		en.orderCount++
+		en.loadSeq++
 		re := &en.report
 		re.Group, re.Fence, re.Turn, re.Ring, re.Ready = "", or.Fence, or.Turn, nil, false
 	}
 }
 
-func old(re fleet.Report, fence, turn uint64) bool {
-	return fence < re.Fence || fence == re.Fence && turn < re.Turn
+// staleOrder reports whether an order with this fencing token and generation is
+// older than the last one that the engine applied.
+func staleOrder(re fleet.Report, fence, generation uint64) bool {
+	return fence < re.Fence || fence == re.Fence && generation < re.Turn
 }
 
-// truth returns the report of a VM's engine, whatever the daemons know.
-func (w *world) truth(vm string) (fleet.Report, bool) {
+// actualReport returns the state of a VM's engine, as opposed to what the
+// daemons know about it, and whether the engine works.
+func (w *simulation) actualReport(vm string) (fleet.Report, bool) {
 	en := w.engines[vm]
-	return en.report, !en.down && !en.silent
+	return en.report, !en.down && !en.unresponsive
 }
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -9,28 +9,29 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// Event is something that happened. The set is closed.
+// Event is an input of Core.Step. The set of implementations is closed.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed.
+// Tick triggers periodic work.
 type Tick struct{}
 
-// Leave says that this daemon was told to stop.
+// Leave starts the graceful shutdown of this daemon.
 type Leave struct{}
 
-// Probed is the outcome of a Probe.
+// Probed is the result of a Probe.
 type Probed struct {
 	VM     string
 	SentAt time.Time
-	// Report is nil when the probe failed.
+	// Report is nil if the probe failed.
 	Report *fleet.Report
-	// Refused means that the VM's address refused the connection: the engine
-	// is certainly not running. A probe that merely timed out proves nothing.
+	// Refused is set if the VM's address refused the connection, which proves
+	// that the engine is not running. A timeout proves nothing.
 	Refused bool
 }
 
-// Answered says that a group began to answer a request that was dispatched at
-// SentAt. A replica works only as a whole, so it was whole then.
+// Answered reports that a group began to answer a request that was dispatched
+// at SentAt. A group answers only if it is complete, so it was complete at some
+// time since then.
 type Answered struct {
 	Group  string
 	Fence  uint64
@@ -38,94 +39,101 @@
 	SentAt time.Time
 }
 
-// Pulled is a peer's answer to a Pull.
+// Pulled is a peer's answer to a Pull sent at SentAt.
 type Pulled struct {
 	Peer   string
 	SentAt time.Time
 	Answer PullAnswer
 }
 
-// PullFailed says that a peer did not answer a Pull.
+// PullFailed reports that a peer did not answer a Pull.
 type PullFailed struct{ Peer string }
 
-// DocsArrived brings documents from a peer; none when the fetch failed.
+// DocsArrived is the result of FetchDocs. Docs is empty if the fetch failed.
 type DocsArrived struct {
 	Peer string
 	Docs []gossip.Doc
 }
 
-// ConfigArrived brings configuration from a peer or the platform.
+// ConfigArrived delivers configuration from a peer or from the platform.
+// Snapshot is nil if only entries were sent.
 type ConfigArrived struct {
-	// Source is the key under which the fetch was flying.
+	// Source is the Core.inFlight key of the fetch: FlyPeerConfig or
+	// FlyPlatformConfig.
 	Source string
-	// Known means that the source was reached and what follows is all it has.
+	// Known is set if the source was reached and the event holds everything it
+	// has.
 	Known    bool
 	Snapshot *intent.Config
 	Entries  []chain.Entry
 }
 
-// Asked says that a peer has pulled from this daemon.
+// Asked reports that a peer has pulled from this daemon.
 type Asked struct {
 	Peer string
-	// Revision is that of the peer's own document.
+	// Revision is the revision of the peer's own document.
 	Revision uint64
 }
 
-// Revoked is another daemon's direct evidence that a group is not whole, at
-// the fencing number that it knows.
+// Revoked is another daemon's direct evidence that a group is not complete, at
+// the fencing token known to that daemon.
 type Revoked struct {
 	Group string
 	Fence uint64
 }
 
-// SightingsArrived is a daemon's answer to PullSightings; Answer is nil when
-// it failed.
+// SightingsArrived is the result of PullSightings. Answer is nil if the pull
+// failed.
 type SightingsArrived struct {
 	Daemon string
 	SentAt time.Time
 	Answer *SightingsAnswer
 }
 
-// LeaseWon says that this daemon is the steward of its data center.
+// LeaseWon reports that this daemon acquired the steward's lease. The lease
+// runs from SentAt, and Epoch identifies the term of this steward.
 type LeaseWon struct {
 	Lease  string
 	Epoch  uint64
 	SentAt time.Time
 }
 
-// LeaseRenewed says that the lease runs from SentAt again.
+// LeaseRenewed reports that the lease now runs from SentAt.
 type LeaseRenewed struct{ SentAt time.Time }
 
-// LeaseFailed says that the platform could not be asked.
+// LeaseFailed reports that the platform did not answer a lease request.
 type LeaseFailed struct{ SentAt time.Time }
 
-// LeaseLost says that another holds the lease, or that ours has lapsed.
+// LeaseLost reports that another daemon holds the lease or that this daemon's
+// lease has expired.
 type LeaseLost struct{}
 
-// DomainsRead brings the written assignments of the data center, or of Only
-// that domain; Failed means that the read must be repeated.
+// DomainsRead is the result of ReadDomains, with the same Only. Failed means
+// that the read must be repeated.
 type DomainsRead struct {
 	Only    string
 	Domains []StoredDomain
 	Failed  bool
 }
 
-// StoredDomain is an assignment with the revision of its key.
+// StoredDomain is an assignment and the revision of its key in the platform's
+// store.
 type StoredDomain struct {
 	Domain   fleet.Domain
 	Revision uint64
 }
 
-// DomainWritten says that a write took effect.
+// DomainWritten reports that a WriteDomain took effect.
 type DomainWritten struct{ StoredDomain }
 
-// DomainUncertain says that a write met another revision or lost its answer.
+// DomainUncertain reports that a WriteDomain met another revision or received
+// no answer, so that it may or may not have taken effect.
 type DomainUncertain struct{ Name string }
 
-// VMsRead brings the platform's list; it is nil when the read failed.
+// VMsRead is the result of ReadVMs. VMs is nil if the read failed.
 type VMsRead struct{ VMs []fleet.VM }
 
-// OrderDone says that an order was answered or given up.
+// OrderDone reports that an order was answered or abandoned.
 type OrderDone struct{ VM string }
 
 func (Tick) isEvent()             {}
--- a/internal/core/control/evidence_test.go
+++ b/internal/core/control/evidence_test.go
@@ -10,10 +10,10 @@
 	"corianderhub.dev/corianderhub/internal/core/gossip"
 )
 
-// One member of a group answers a probe and dies; only then does the other
-// become ready and answer. Both were seen serving, but never at one moment,
-// and a request sent on that evidence would meet a group that is not whole.
-func TestEvidenceNeedsCommonMoment(t *testing.T) {
+// One member of a group answers a probe and dies, and only then the other
+// becomes ready and answers. Both were observed ready, but at no common time.
+// Requests sent on that evidence would reach an incomplete group.
+func TestPermitRequiresMembersReadyAtSameTime(t *testing.T) {
 	begin := time.Unix(1000, 0)
 	co := control.New(control.Settings{Name: "d1", DataCenter: "gent", Peer: "d1", Timing: control.DefaultTiming}, begin)
 	gr := fleet.Group{ID: "g", Model: "m", Version: "1", Fence: 1, Size: 2, Members: []fleet.Member{{VM: "a", Incarnation: "1"}, {VM: "b", Incarnation: "1"}}}
@@ -30,14 +30,14 @@
 	answer("a", 100*time.Millisecond)
 	answer("b", 200*time.Millisecond)
 	if permitted() {
-		t.Error("permitted although the members were not seen at one moment")
+		t.Error("permit granted although no interval shows both members ready")
 	}
 	answer("a", 300*time.Millisecond)
 	if permitted() {
-		t.Error("permitted although b was seen only before a was seen again")
+		t.Error("permit granted although b was last probed before a was observed unchanged")
 	}
 	answer("b", 400*time.Millisecond)
 	if !permitted() {
-		t.Error("not permitted although both served from 201 to 300 ms")
+		t.Error("no permit although both members were ready from 201 to 300 ms")
 	}
 }
--- a/internal/core/control/hold_test.go
+++ b/internal/core/control/hold_test.go
@@ -12,37 +12,38 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-// directLimit is how soon after direct evidence of a loss no daemon may send
-// to the group any more.
-const directLimit = time.Second
+// revocationLimit is the time after direct evidence of a loss within which no
+// daemon holds a permit for the group any longer.
+const revocationLimit = time.Second
 
-// healLimit is far above what a repair takes with the engines' load time of a
-// second; tests wait for outcomes and never for a time.
-const healLimit = 60 * time.Second
+// repairLimit is far above the duration of a repair with the engines' load time
+// of one second. The tests wait for outcomes and not for fixed times.
+const repairLimit = 60 * time.Second
 
-// takeoverLimit is within how long another daemon has become steward and has
-// repaired a group, when the steward can't reach the platform any more.
+// takeoverLimit is the time within which another daemon becomes steward and
+// repairs a group after the steward loses access to the platform.
 const takeoverLimit = 25 * time.Second
 
-// victim returns a member of a group that serves, and the group.
-func (w *world) victim(daemon string) (*engine, fleet.Group) {
+// servingMember returns the engine of the first member of a serving group, and
+// the group.
+func (w *simulation) servingMember(daemon string) (*engine, fleet.Group) {
 	gr := w.daemons[daemon].group()
 	return w.engines[gr.Members[0].VM], gr
 }
 
-// mayReach tells whether any daemon, frozen ones included, holds a permit for
-// a group that the VM is a member of.
-func (w *world) mayReach(vm string) bool {
+// anyPermitFor reports whether any daemon, including suspended ones, holds a
+// permit for a group that the VM is a member of.
+func (w *simulation) anyPermitFor(vm string) bool {
 	for _, name := range w.names {
 		no := w.daemons[name]
-		if no.core != nil && no.mayReach(w, vm) {
+		if no.core != nil && no.holdsPermitFor(w, vm) {
 			return true
 		}
 	}
 	return false
 }
 
-func (no *node) mayReach(w *world, vm string) bool {
+func (no *node) holdsPermitFor(w *simulation, vm string) bool {
 	for _, ta := range no.core.View().Groups {
 		if _, ok := ta.Group.Member(vm); ok && ta.Permit.Valid(w.clock.Now()) {
 			return true
@@ -51,11 +52,11 @@
 	return false
 }
 
-// replaced tells whether no written assignment names the VM at the
-// incarnation that it had.
-func (w *world) replaced(vm, incarnation string) func() bool {
+// replaced returns a condition that holds once no stored assignment contains
+// the VM at the given incarnation.
+func (w *simulation) replaced(vm, incarnation string) func() bool {
 	return func() bool {
-		entries, err := w.peek()
+		entries, err := w.listDomains()
 		if err != nil {
 			return false
 		}
@@ -77,116 +78,119 @@
 func TestHoldWholeGroup(t *testing.T) {
 	tests := []struct {
 		name string
-		run  func(t *testing.T, w *world)
+		run  func(t *testing.T, w *simulation)
 	}{
-		// A member's engine dies. Its address refuses connections, which the
-		// next probe of either prober sees; all daemons are told at once and
-		// none sends to the group a second later. Then a free VM takes over.
-		{"kill", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// A member's engine dies and its address refuses connections. The next
+		// probe of either prober detects it and all daemons are notified, so
+		// that none sends to the group one second later. Then a free VM
+		// replaces the member.
+		{"kill", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(w.daemons["d1"].set.Timing.Probe + directLimit)
-			if w.mayReach(en.vm.Name) {
-				t.Error("a daemon may send to a group a second after its loss was seen")
+			w.advance(w.daemons["d1"].set.Timing.Probe + revocationLimit)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon holds a permit for a group one second after the loss of a member was detected")
 			}
-			w.until("replaced", healLimit, w.replaced(en.vm.Name, en.incarnation))
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("member is replaced", repairLimit, w.replaced(en.vm.Name, en.incarnation))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// One daemon is cut off from everything while a member dies. It hears
-		// of nothing, and its permit ends by time alone; the check after each
-		// event fails if it lasts longer than the evidence's lifetime.
-		{"cut", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
-			w.cut = func(a, b string) bool { return a == "d3" || b == "d3" }
-			w.run(100 * time.Millisecond)
+		// One daemon is partitioned from everything while a member dies. It
+		// receives no revocation, so its permit must expire. The check after
+		// each event fails if the permit outlasts the lifetime of its evidence.
+		{"cut", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
+			w.partitioned = func(a, b string) bool { return a == "d3" || b == "d3" }
+			w.advance(100 * time.Millisecond)
 			en.down = true
-			w.run(w.daemons["d3"].set.Timing.Permit)
-			if w.daemons["d3"].mayReach(w, en.vm.Name) {
-				t.Error("the daemon that is cut off may still send")
+			w.advance(w.daemons["d3"].set.Timing.Permit)
+			if w.daemons["d3"].holdsPermitFor(w, en.vm.Name) {
+				t.Error("the partitioned daemon still holds a permit")
 			}
-			w.cut = func(string, string) bool { return false }
-			w.until("healed", healLimit, w.allServe(2))
+			w.partitioned = func(string, string) bool { return false }
+			w.waitFor("all groups serve again", repairLimit, w.allServe(2))
 		}},
-		// A daemon is frozen (SIGSTOP) while a member dies and wakes up much
-		// later with its old view. The permit in that view has run out.
-		{"freeze", func(t *testing.T, w *world) {
-			en, gr := w.victim("d1")
+		// A daemon is suspended (SIGSTOP) while a member dies, and resumes much
+		// later with its old view. The permit in that view has expired.
+		{"freeze", func(t *testing.T, w *simulation) {
+			en, gr := w.servingMember("d1")
 			no := w.daemons["d3"]
 			old := no.core.View()
-			no.frozen = true
+			no.suspended = true
 			en.down = true
-			w.run(10 * time.Second)
+			w.advance(10 * time.Second)
 			if ta, ok := old.Find(gr.ID); ok && ta.Permit.Valid(w.clock.Now()) {
-				t.Error("the view from before the freeze still permits")
+				t.Error("the view from before the suspension still holds a valid permit")
 			}
-			w.thaw(no)
-			w.until("healed", healLimit, w.allServe(2))
+			w.resume(no)
+			w.waitFor("all groups serve again", repairLimit, w.allServe(2))
 		}},
-		// A member's VM hangs: connections are accepted and nothing is ever
-		// answered. There is no refusal to see, so the permit ends by time.
-		{"silent", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
-			en.silent = true
-			w.run(w.daemons["d1"].set.Timing.Permit + step)
-			if w.mayReach(en.vm.Name) {
-				t.Error("a daemon may send to a group with a silent member")
+		// A member's VM hangs: it accepts connections and never answers. No
+		// connection is refused, so the permit must expire.
+		{"silent", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
+			en.unresponsive = true
+			w.advance(w.daemons["d1"].set.Timing.Permit + step)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon holds a permit for a group with an unresponsive member")
 			}
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// A member restarts and answers again at once, as if nothing had
-		// happened, but with empty memory: its incarnation gives it away.
-		{"restart", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// A member restarts and answers at once, but with empty memory. Its new
+		// incarnation shows the restart.
+		{"restart", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			former := en.incarnation
 			en.boot()
-			w.run(w.daemons["d1"].set.Timing.Probe + directLimit)
-			if w.mayReach(en.vm.Name) && !w.replaced(en.vm.Name, former)() {
-				t.Error("a daemon may send to a group whose member has restarted")
+			w.advance(w.daemons["d1"].set.Timing.Probe + revocationLimit)
+			if w.anyPermitFor(en.vm.Name) && !w.replaced(en.vm.Name, former)() {
+				t.Error("a daemon holds a permit for a group whose member has restarted")
 			}
-			w.until("replaced", healLimit, w.replaced(en.vm.Name, former))
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("member is replaced", repairLimit, w.replaced(en.vm.Name, former))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// The platform is down when a member dies. Permits need no platform:
-		// the group stops at once, the other goes on, and the repair waits.
-		{"platform-outage", func(t *testing.T, w *world) {
+		// A member dies while the platform is down. Permits do not depend on
+		// the platform: the broken group stops at once and the other one
+		// continues. The repair waits for the platform.
+		{"platform-outage", func(t *testing.T, w *simulation) {
 			w.setFaults(standin.StoreFaults{Down: true})
-			w.run(20 * time.Second)
+			w.advance(20 * time.Second)
 			if !w.allServe(2)() {
-				t.Fatal("groups stopped serving because the platform is down")
+				t.Fatal("groups stopped serving when the platform went down")
 			}
-			en, _ := w.victim("d1")
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(w.daemons["d1"].set.Timing.Probe + directLimit)
-			if w.mayReach(en.vm.Name) {
-				t.Error("a daemon may send to a broken group")
+			w.advance(w.daemons["d1"].set.Timing.Probe + revocationLimit)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon holds a permit for a broken group")
 			}
-			w.run(time.Minute)
+			w.advance(time.Minute)
 			if !w.allServe(1)() {
-				t.Error("the whole group does not serve through the outage")
+				t.Error("the complete group stopped serving during the outage")
 			}
 			w.setFaults(standin.StoreFaults{})
-			w.until("repaired after the outage", healLimit, w.allServe(2))
+			w.waitFor("group is repaired after the outage", repairLimit, w.allServe(2))
 		}},
-		// The steward is frozen past its lease in the middle of a repair. The
-		// next one finishes it; what the first does when it wakes is refused.
-		{"lapsed-lease", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// The steward is suspended in the middle of a repair until its lease
+		// has expired. The next steward finishes the repair, and what the first
+		// one writes when it resumes is rejected.
+		{"lapsed-lease", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			st := w.steward("gent")
 			en.down = true
-			w.run(fleet.LossGrace)
-			st.frozen = true
-			w.until("another steward repaired it", healLimit, w.allServe(2))
-			w.thaw(st)
-			w.run(10 * time.Second)
+			w.advance(fleet.LossGrace)
+			st.suspended = true
+			w.waitFor("group is repaired by another steward", repairLimit, w.allServe(2))
+			w.resume(st)
+			w.advance(10 * time.Second)
 			if !w.allServe(2)() {
-				t.Error("the former steward broke a group")
+				t.Error("the former steward disrupted a group")
 			}
 		}},
 		// A group is being formed. One member is ready and hangs just before
-		// the other becomes ready: each was seen ready, but never both at one
-		// moment, and nobody may send to the group.
-		{"never-whole", func(t *testing.T, w *world) {
-			en, gr := w.victim("d1")
+		// the other becomes ready. Each was observed ready, but at no common
+		// time, so no daemon may send to the group.
+		{"never-whole", func(t *testing.T, w *simulation) {
+			en, gr := w.servingMember("d1")
 			other := w.engines[gr.Members[1].VM]
 			mo := model
 			mo.Version = "2"
@@ -197,98 +201,100 @@
 			if _, err := w.apply(w.daemons["d1"], "version", mo); err != nil {
 				t.Fatal(err)
 			}
-			w.until("one member is ready", healLimit, func() bool {
-				return en.report.Version == "2" && en.report.Ready && !other.report.Ready && other.generation == en.generation
+			w.waitFor("one member is ready", repairLimit, func() bool {
+				return en.report.Version == "2" && en.report.Ready && !other.report.Ready && other.loadSeq == en.loadSeq
 			})
-			w.run(1900 * time.Millisecond)
-			en.silent = true
-			w.run(10 * time.Second)
-			en.silent = false
-			w.until("rolled", 5*time.Minute, func() bool { return w.versions("2") == 2 && w.allServe(2)() })
+			w.advance(1900 * time.Millisecond)
+			en.unresponsive = true
+			w.advance(10 * time.Second)
+			en.unresponsive = false
+			w.waitFor("both groups serve version 2", 5*time.Minute, func() bool { return w.groupsAtVersion("2") == 2 && w.allServe(2)() })
 		}},
-		// One prober is cut off from all VMs. What it sees is its own trouble:
-		// the other prober's word counts, and no place is given away.
-		{"cut-prober", func(t *testing.T, w *world) {
+		// One prober is partitioned from all VMs. The other prober still
+		// reaches them, so no member is replaced.
+		{"cut-prober", func(t *testing.T, w *simulation) {
 			before := w.daemons["d1"].core.Domains()
-			w.cut = func(a, b string) bool { return a == "d2" && w.engines[b] != nil }
-			w.run(30 * time.Second)
+			w.partitioned = func(a, b string) bool { return a == "d2" && w.engines[b] != nil }
+			w.advance(30 * time.Second)
 			if diff := cmp.Diff(before, w.daemons["d1"].core.Domains()); diff != "" {
-				t.Errorf("groups were changed (-before +after):\n%s", diff)
+				t.Errorf("assignments changed (-before +after):\n%s", diff)
 			}
 			if !w.allServe(2)() {
 				t.Error("a group stopped serving")
 			}
 		}},
-		// A prober dies together with a member of its group. The other prober
-		// sees the loss alone.
-		{"twice", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// A prober dies together with a member of its group. The remaining
+		// prober detects the loss alone.
+		{"twice", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			en.down = true
 			w.daemons["d3"].kill()
-			w.run(w.daemons["d1"].set.Timing.Permit + step)
-			if w.mayReach(en.vm.Name) {
-				t.Error("a daemon may send to a broken group")
+			w.advance(w.daemons["d1"].set.Timing.Permit + step)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon holds a permit for a broken group")
 			}
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
 	}
 	for _, tc := range tests {
-		t.Run(tc.name, func(t *testing.T) { tc.run(t, gent(t, 1)) })
+		t.Run(tc.name, func(t *testing.T) { tc.run(t, newServingSimulation(t, 1)) })
 	}
 }
 
 func TestHoldOneGroupPerVM(t *testing.T) {
-	// Each of these lets two parties believe that they decide, or lets one
-	// act on old knowledge. After every event the world checks that no VM
-	// stands in two written groups, and that no daemon may send to two groups
-	// that share one.
+	// In each of these cases two daemons act as steward at the same time, or
+	// one acts on an outdated state. After every event the simulation checks
+	// that no VM is in two stored groups and that no daemon holds permits for
+	// two groups that share a VM.
 	tests := []struct {
 		name string
-		run  func(t *testing.T, w *world)
+		run  func(t *testing.T, w *simulation)
 	}{
-		// A VM dies, its place is given away, and it comes back with its old
-		// state as if nothing had happened. It is cleaned before it is free.
-		{"kill", func(t *testing.T, w *world) {
-			en, gr := w.victim("d1")
+		// A VM hangs, is replaced, and returns with its old state. It must be
+		// released from its former group before it is used again.
+		{"kill", func(t *testing.T, w *simulation) {
+			en, gr := w.servingMember("d1")
 			former := en.report
-			en.silent = true
-			w.until("replaced", healLimit, w.replaced(en.vm.Name, en.incarnation))
-			w.until("repaired", healLimit, w.allServe(2))
-			en.silent = false
+			en.unresponsive = true
+			w.waitFor("member is replaced", repairLimit, w.replaced(en.vm.Name, en.incarnation))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
+			en.unresponsive = false
 			if en.report.Group != former.Group {
-				t.Fatal("the engine lost its state by itself")
+				t.Fatal("the engine lost its state while it was unresponsive")
 			}
-			w.until("cleaned", healLimit, func() bool { return en.report.Group != gr.ID })
-			w.run(10 * time.Second)
+			w.waitFor("VM is released from its former group", repairLimit, func() bool { return en.report.Group != gr.ID })
+			w.advance(10 * time.Second)
 		}},
-		// The steward is cut off from the platform but not from the engines.
-		// A second one takes over while the first still believes.
-		{"cut", func(t *testing.T, w *world) {
+		// The steward is partitioned from the platform but not from the
+		// engines. A second steward takes over while the first still considers
+		// itself steward.
+		{"cut", func(t *testing.T, w *simulation) {
 			st := w.steward("gent")
-			w.cut = func(a, b string) bool { return a == st.name && b == platformID }
-			en, _ := w.victim("d1")
+			w.partitioned = func(a, b string) bool { return a == st.name && b == platformID }
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(30 * time.Second)
-			w.cut = func(string, string) bool { return false }
-			w.until("repaired", healLimit, w.allServe(2))
+			w.advance(30 * time.Second)
+			w.partitioned = func(string, string) bool { return false }
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// The steward is frozen right after it planned a repair, another
-		// repairs, and the first wakes up with its answers still to come.
-		{"freeze", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// The steward is suspended right after it planned a repair. Another
+		// steward makes the repair, and the first resumes with answers
+		// outstanding.
+		{"freeze", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(fleet.LossGrace + 300*time.Millisecond)
+			w.advance(fleet.LossGrace + 300*time.Millisecond)
 			st := w.steward("gent")
-			st.frozen = true
-			w.run(30 * time.Second)
-			w.thaw(st)
-			w.run(20 * time.Second)
-			w.until("repaired", healLimit, w.allServe(2))
+			st.suspended = true
+			w.advance(30 * time.Second)
+			w.resume(st)
+			w.advance(20 * time.Second)
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// A write of the steward hangs somewhere on its way. The lease lapses,
-		// another steward writes, and then the first write arrives after all.
-		{"slow", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// A write of the steward is delayed in the network. The lease expires,
+		// another steward writes, and then the first write arrives.
+		{"slow", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			st := w.steward("gent")
 			w.delay = func(from, to string) time.Duration {
 				if from == st.name && to == platformID {
@@ -297,67 +303,69 @@
 				return 0
 			}
 			en.down = true
-			w.until("another steward repaired it", takeoverLimit, w.replaced(en.vm.Name, en.incarnation))
-			w.run(time.Minute)
+			w.waitFor("group is repaired by another steward", takeoverLimit, w.replaced(en.vm.Name, en.incarnation))
+			w.advance(time.Minute)
 			w.delay = func(string, string) time.Duration { return 0 }
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// The steward's process dies and is started again at once, as the
-		// others see it: they still name it as steward and wait for it.
-		{"restart", func(t *testing.T, w *world) {
+		// The steward's process dies and restarts before the others notice:
+		// they still have it as steward and wait for it.
+		{"restart", func(t *testing.T, w *simulation) {
 			st := w.steward("gent")
 			st.kill()
 			w.start(st)
-			en, _ := w.victim("d1")
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.until("replaced", healLimit, w.replaced(en.vm.Name, en.incarnation))
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("member is replaced", repairLimit, w.replaced(en.vm.Name, en.incarnation))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// Engines that don't check fencing take a late order of a frozen
-		// steward. The next steward's view of the reports puts them right.
-		{"unchecked", func(t *testing.T, w *world) {
+		// An engine that does not check fencing follows a late order of a
+		// former steward. The present steward detects this in the engine's
+		// report and corrects it.
+		{"unchecked", func(t *testing.T, w *simulation) {
 			for _, en := range w.engines {
-				en.unchecked = true
+				en.ignoresFencing = true
 			}
 			mo := model
 			mo.ChecksFencing = false
 			if _, err := w.apply(w.daemons["d1"], "unchecked", mo); err != nil {
 				t.Fatal(err)
 			}
-			old := w.daemons["d1"].group()
-			en, _ := w.victim("d1")
+			former := w.daemons["d1"].group()
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.until("repaired", healLimit, func() bool {
+			w.waitFor("group is repaired", repairLimit, func() bool {
 				gr := w.daemons["d1"].group()
-				return gr.Fence != old.Fence && w.allServe(2)()
+				return gr.Fence != former.Fence && w.allServe(2)()
 			})
 			en.boot()
-			w.run(5 * time.Second)
-			late := w.engines[old.Members[1].VM]
-			w.obey(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: old, Ring: old.Members, Turn: 1})
-			w.until("put right", healLimit, func() bool { return late.report.Fence != old.Fence && w.allServe(2)() })
+			w.advance(5 * time.Second)
+			late := w.engines[former.Members[1].VM]
+			w.applyOrder(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: former, Ring: former.Members, Turn: 1})
+			w.waitFor("engine follows the present assignment", repairLimit, func() bool { return late.report.Fence != former.Fence && w.allServe(2)() })
 		}},
 		// Writes of assignments take effect but their answers are lost.
-		{"lost-answer", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		{"lost-answer", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			w.setFaults(standin.StoreFaults{LoseAnswers: 3})
 			en.down = true
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
 		// The platform goes down in the middle of a repair.
-		{"platform-outage", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		{"platform-outage", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(fleet.LossGrace + 200*time.Millisecond)
+			w.advance(fleet.LossGrace + 200*time.Millisecond)
 			w.setFaults(standin.StoreFaults{Down: true})
-			w.run(2 * time.Minute)
+			w.advance(2 * time.Minute)
 			en.boot()
-			w.run(10 * time.Second)
+			w.advance(10 * time.Second)
 			w.setFaults(standin.StoreFaults{})
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
-		// Operators turn replicas up and down faster than groups can follow.
-		{"operator-race", func(t *testing.T, w *world) {
+		// Operators change the number of replicas faster than groups can be
+		// formed.
+		{"operator-race", func(t *testing.T, w *simulation) {
 			for i := range 8 {
 				sp := spec
 				sp.Replicas = 1 + i%3
@@ -365,82 +373,84 @@
 				if _, err := w.apply(no, fmt.Sprint("race", i), sp); err != nil {
 					t.Fatal(err)
 				}
-				w.run(700 * time.Millisecond)
+				w.advance(700 * time.Millisecond)
 			}
-			w.until("the last word is in force", healLimit, w.allServe(2))
+			w.waitFor("last applied number of replicas serves", repairLimit, w.allServe(2))
 		}},
-		// The lease lapses during a repair, and the write that was on its way
-		// takes effect without an answer.
-		{"twice", func(t *testing.T, w *world) {
-			en, _ := w.victim("d1")
+		// The steward dies during a repair, and its write in transit takes
+		// effect without an answer.
+		{"twice", func(t *testing.T, w *simulation) {
+			en, _ := w.servingMember("d1")
 			en.down = true
-			w.run(fleet.LossGrace)
+			w.advance(fleet.LossGrace)
 			w.setFaults(standin.StoreFaults{LoseAnswers: 1})
-			w.run(300 * time.Millisecond)
+			w.advance(300 * time.Millisecond)
 			st := w.steward("gent")
 			st.kill()
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
 	}
 	for _, tc := range tests {
-		t.Run(tc.name, func(t *testing.T) { tc.run(t, gent(t, 2)) })
+		t.Run(tc.name, func(t *testing.T) { tc.run(t, newServingSimulation(t, 2)) })
 	}
 }
 
 func TestHoldLeaving(t *testing.T) {
-	// leaveLimit is the users' "few seconds".
+	// leaveLimit is the time within which no daemon may send to the group of a
+	// leaving VM; callers are promised "a few seconds".
 	const leaveLimit = 3 * time.Second
 	tests := []struct {
 		name string
-		run  func(t *testing.T, w *world, en *engine)
+		run  func(t *testing.T, w *simulation, en *engine)
 	}{
-		// A VM says itself that it is leaving. The prober that hears it tells
-		// all, so that nobody waits for the permit to run out.
-		{"report", func(t *testing.T, w *world, en *engine) {
+		// A VM reports that it is leaving. The prober that receives the report
+		// notifies all daemons, so that none waits for its permit to expire.
+		{"report", func(t *testing.T, w *simulation, en *engine) {
 			en.leaving = true
-			w.run(w.daemons["d1"].set.Timing.Probe + directLimit)
-			if w.mayReach(en.vm.Name) {
-				t.Error("the group may be sent to a second after its VM said that it leaves")
+			w.advance(w.daemons["d1"].set.Timing.Probe + revocationLimit)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon holds a permit for the group one second after its VM reported that it is leaving")
 			}
 		}},
-		// The same, while one daemon is frozen: it holds nothing when it wakes.
-		{"freeze", func(_ *testing.T, w *world, en *engine) {
-			w.daemons["d3"].frozen = true
+		// The same while one daemon is suspended: its permit has expired when
+		// it resumes.
+		{"freeze", func(_ *testing.T, w *simulation, en *engine) {
+			w.daemons["d3"].suspended = true
 			en.leaving = true
 		}},
-		// The same, while one daemon hears nothing of it.
-		{"cut", func(_ *testing.T, w *world, en *engine) {
-			w.cut = func(a, b string) bool { return a == "d2" || b == "d2" }
+		// The same while one daemon is partitioned and receives no revocation.
+		{"cut", func(_ *testing.T, w *simulation, en *engine) {
+			w.partitioned = func(a, b string) bool { return a == "d2" || b == "d2" }
 			en.leaving = true
 		}},
-		// The same, while the platform is down.
-		{"platform-outage", func(_ *testing.T, w *world, en *engine) {
+		// The same while the platform is down.
+		{"platform-outage", func(_ *testing.T, w *simulation, en *engine) {
 			w.setFaults(standin.StoreFaults{Down: true})
-			w.run(10 * time.Second)
+			w.advance(10 * time.Second)
 			en.leaving = true
 		}},
-		// The same, and one prober dies at that moment.
-		{"kill", func(_ *testing.T, w *world, en *engine) {
+		// The same while a prober dies at that moment.
+		{"kill", func(_ *testing.T, w *simulation, en *engine) {
 			en.leaving = true
 			w.daemons["d2"].kill()
 		}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := gent(t, 3)
-			en, _ := w.victim("d1")
+			w := newServingSimulation(t, 3)
+			en, _ := w.servingMember("d1")
 			tc.run(t, w, en)
-			w.run(leaveLimit)
-			if w.mayReach(en.vm.Name) {
-				t.Error("the group of a leaving VM may still be sent to")
+			w.advance(leaveLimit)
+			if w.anyPermitFor(en.vm.Name) {
+				t.Error("a daemon still holds a permit for the group of a leaving VM")
 			}
-			w.cut = func(string, string) bool { return false }
+			w.partitioned = func(string, string) bool { return false }
 			w.setFaults(standin.StoreFaults{})
-			if w.daemons["d3"].frozen {
-				w.thaw(w.daemons["d3"])
+			if w.daemons["d3"].suspended {
+				w.resume(w.daemons["d3"])
 			}
-			w.until("replaced", healLimit, w.replaced(en.vm.Name, en.incarnation))
-			w.until("repaired", healLimit, w.allServe(2))
+			w.waitFor("member is replaced", repairLimit, w.replaced(en.vm.Name, en.incarnation))
+			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		})
 	}
 }
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -14,32 +14,40 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// PullAnswer is what one daemon tells another in a round. It is kept small:
-// it passes three times a second in each direction.
+// PullAnswer is a daemon's answer to a pull. It is kept small because every
+// daemon sends and receives several per second.
 type PullAnswer struct {
+	// Name is the answering daemon, DocsHash the hash of its document table,
+	// and ConfigRevision the revision of its configuration, 0 if it has none.
 	Name           string        `cbor:"1,keyasint"`
 	DocsHash       uint64        `cbor:"2,keyasint"`
 	ConfigRevision uint64        `cbor:"3,keyasint"`
 	Permits        []GroupDigest `cbor:"4,keyasint,omitempty"`
 }
 
-// GroupDigest is the evidence for one group in a PullAnswer.
+// GroupDigest is the evidence for one group in a PullAnswer. It is encoded as
+// an array, in the order of its fields.
 type GroupDigest struct {
 	_ struct{} `cbor:",toarray"`
-	// Hash stands for the group and its fencing number.
+	// Hash is the groupHash of the group and its fencing token.
 	Hash uint64
-	// Leader is the leader's place among the group's members.
+	// Leader is the index of the leader in the group's members.
 	Leader uint8
-	// AgeMS is the age of the evidence when the answer was made.
+	// AgeMS is the age of the evidence, in milliseconds, when the answer was
+	// built.
 	AgeMS uint32
-	// Pending and Resident are in units of 1,024 tokens.
+	// Pending and Resident are in units of 1,024 tokens; Requests is a count.
 	Pending  uint32
 	Resident uint32
 	Requests uint32
 }
 
+// tokensUnit is the number of tokens per unit of GroupDigest.Pending and
+// Resident.
 const tokensUnit = 1024
 
+// groupHash returns the hash of the group's ID and the low 40 bits of its
+// fencing token. It is part of the protocol between daemons.
 func groupHash(gr fleet.Group) uint64 {
 	var di xxhash.Digest
 	di.Reset()
@@ -57,14 +65,17 @@
 	co.publish(gossip.DaemonPrefix+co.set.Name, revision, co.self())
 }
 
+// publish stores a document with val as its value, encoded as JSON. Peers
+// receive it with their next pull.
 func (co *Core) publish(name string, revision uint64, val any) {
 	raw, err := json.Marshal(val)
 	if err != nil {
 		return
 	}
-	co.take(gossip.Doc{Name: name, Revision: revision, Value: raw})
+	co.applyDoc(gossip.Doc{Name: name, Revision: revision, Value: raw})
 }
 
+// leave publishes the state Leaving and gives up the stewardship.
 func (co *Core) leave() {
 	if co.state == gossip.Leaving {
 		return
@@ -74,7 +85,7 @@
 	co.stepDown()
 }
 
-// PullAt returns this daemon's digest for a peer that asks at now.
+// PullAt returns the answer to a pull that arrives at now.
 func (co *Core) PullAt(now time.Time) PullAnswer {
 	co.now = now
 	an := PullAnswer{Name: co.set.Name, DocsHash: co.docs.Hash()}
@@ -102,33 +113,35 @@
 	return an
 }
 
-// pullRound pulls from a few peers: suspects first, then random ones of this
-// daemon's partners, mostly of its data center, and now and then a seed or a
-// dead one, so that a cut heals without anybody's help.
+// pullRound pulls from a few peers: first those suspected dead, then random
+// partners, mostly of this data centre. In every fifth round it adds a seed or
+// a dead daemon, so that the daemons find each other again after a network
+// partition.
 func (co *Core) pullRound() {
-	if !co.every("pull", co.set.Timing.Pull) {
+	if !co.due("pull", co.set.Timing.Pull) {
 		return
 	}
 	co.round++
-	picked := append([]string(nil), co.suspect...)
-	co.suspect = nil
-	near, far, lost := co.peers()
-	if co.round%5 == 0 || len(near)+len(far) == 0 {
-		picked = append(picked, sample(append(addresses(lost), co.set.Seeds...), 1)...)
+	picked := append([]string(nil), co.suspects...)
+	co.suspects = nil
+	local, remote, dead := co.peers()
+	if co.round%5 == 0 || len(local)+len(remote) == 0 {
+		picked = append(picked, sample(append(addresses(dead), co.set.Seeds...), 1)...)
 	}
-	picked = append(picked, sample(co.partners(near, nearPartners), pullPeers-1)...)
-	picked = append(picked, sample(co.partners(far, farPartners), 1)...)
+	picked = append(picked, sample(co.partners(local, localPartners), pullFanout-1)...)
+	picked = append(picked, sample(co.partners(remote, remotePartners), 1)...)
 	for _, addr := range picked {
 		if addr != co.set.Peer {
-			co.emitOnce(flyPull+addr, Pull{Peer: addr, Revision: co.SelfRevision()})
+			co.emitOnce(keyPull+addr, Pull{Peer: addr, Revision: co.SelfRevision()})
 		}
 	}
 }
 
-// partners returns the addresses of the few daemons that this one pulls from:
-// num by their rendezvous hash, and the next by name, so that everybody is
-// pulled from by somebody. With always new partners the handshakes would cost
-// many times what the pulls do.
+// partners returns the addresses of the daemons in dms that this daemon pulls
+// from: num of them by rendezvous hash, plus the successor by name, so that
+// every daemon is pulled from by at least one other. The set is stable because
+// the connection handshakes with ever-changing partners would cost many times
+// as much as the pulls.
 func (co *Core) partners(dms []gossip.Daemon, num int) []string {
 	picked := gossip.Ranked(dms, co.set.Name, num)
 	if next := co.successor(dms); next >= 0 && !slices.Contains(picked, dms[next]) {
@@ -137,7 +150,9 @@
 	return addresses(picked)
 }
 
-// successor returns the place of the daemon whose name follows this one's.
+// successor returns the index of the first daemon whose name follows this
+// one's, wrapping around to 0, or -1 if dms is empty. dms must be sorted by
+// name.
 func (co *Core) successor(dms []gossip.Daemon) int {
 	if len(dms) == 0 {
 		return -1
@@ -154,45 +169,46 @@
 	return addrs
 }
 
-// region returns the peer addresses of the living daemons of this region, who
-// may send to its groups.
-func (co *Core) region() []string {
-	near, far, _ := co.peers()
-	far = slices.DeleteFunc(far, func(dm gossip.Daemon) bool { return dm.Region != co.set.Region })
-	return addresses(append(near, far...))
+// regionPeers returns the peer addresses of the live daemons of this region,
+// which may hold permits for its groups.
+func (co *Core) regionPeers() []string {
+	local, remote, _ := co.peers()
+	remote = slices.DeleteFunc(remote, func(dm gossip.Daemon) bool { return dm.Region != co.set.Region })
+	return addresses(append(local, remote...))
 }
 
-// peers returns the other daemons: living ones of this data center, living
-// ones elsewhere, and dead ones, each in the order of their names.
-func (co *Core) peers() (near, far, lost []gossip.Daemon) {
+// peers returns the other daemons, each list in order of name: the live ones of
+// this data centre, the live ones of other data centres, and the dead ones.
+func (co *Core) peers() (local, remote, dead []gossip.Daemon) {
 	for _, name := range sortedKeys(co.daemons) {
 		dm := co.daemons[name]
 		switch {
 		case name == co.set.Name:
 		case dm.State == gossip.Dead:
-			lost = append(lost, dm)
+			dead = append(dead, dm)
 		case dm.DataCenter == co.set.DataCenter:
-			near = append(near, dm)
+			local = append(local, dm)
 		default:
-			far = append(far, dm)
+			remote = append(remote, dm)
 		}
 	}
-	return near, far, lost
+	return local, remote, dead
 }
 
+// sample returns up to num addresses chosen at random.
 func sample(addrs []string, num int) []string {
 	addrs = slices.Clone(addrs)
 	rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 	return addrs[:min(num, len(addrs))]
 }
 
-// asked pulls back from a daemon that is not known, or known as it was before.
-// Documents flow only towards the one who pulls: without this, a daemon that
-// nobody tells of the others would never hear of them.
-func (co *Core) asked(ev Asked) {
-	known := co.docs.Get(gossip.DaemonPrefix + co.daemonAt(ev.Peer)).Revision
+// pullReceived pulls back from a daemon that is unknown or whose document is
+// out of date here. Documents flow only toward the daemon that pulls: without
+// the pull back, a daemon unknown to all others would never be discovered.
+func (co *Core) pullReceived(ev Asked) {
+	known := co.docs.Get(gossip.DaemonPrefix + co.daemonByPeer(ev.Peer)).Revision
 	if known < ev.Revision && ev.Peer != co.set.Peer {
-		co.emitOnce(flyPull+ev.Peer, Pull{Peer: ev.Peer, Revision: co.SelfRevision()})
+		co.emitOnce(keyPull+ev.Peer, Pull{Peer: ev.Peer, Revision: co.SelfRevision()})
 	}
 }
 
@@ -201,23 +217,25 @@
 	return co.docs.Get(gossip.DaemonPrefix + co.set.Name).Revision
 }
 
+// pulled applies the evidence in a peer's answer and fetches the documents and
+// the configuration that this daemon lacks.
 func (co *Core) pulled(ev Pulled) {
-	delete(co.flying, flyPull+ev.Peer)
-	delete(co.fails, ev.Peer)
+	delete(co.inFlight, keyPull+ev.Peer)
+	delete(co.pullFailures, ev.Peer)
 	for _, gd := range ev.Answer.Permits {
 		co.addDigest(gd, ev)
 	}
 	if ev.Answer.DocsHash != co.docs.Hash() {
-		co.emitOnce(flyDocs+ev.Peer, FetchDocs{Peer: ev.Peer, Have: co.docs.Revisions()})
+		co.emitOnce(keyDocs+ev.Peer, FetchDocs{Peer: ev.Peer, Have: co.docs.Revisions()})
 	}
 	if ev.Answer.ConfigRevision > co.cfg.Revision || (!co.cfgKnown && ev.Answer.ConfigRevision > 0) {
 		co.emitOnce(FlyPeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
 	}
 }
 
-// addDigest dates the evidence from the moment the peer was asked.
+// addDigest adds evidence from a peer, dated from the time the pull was sent.
 func (co *Core) addDigest(gd GroupDigest, ev Pulled) {
-	gr, ok := co.groups[co.byHash[gd.Hash]]
+	gr, ok := co.groups[co.groupByHash[gd.Hash]]
 	if !ok || int(gd.Leader) >= len(gr.Members) {
 		return
 	}
@@ -234,17 +252,18 @@
 	})
 }
 
-// pullFailed suspects the peer. After deadAfter failures in a row the daemon
-// there is declared dead; it contradicts when it hears of that.
+// pullFailed marks the peer as suspect. After deadAfterFailures consecutive
+// failures it declares the daemon dead. A daemon that is alive refutes this by
+// publishing its document again at a higher revision.
 func (co *Core) pullFailed(ev PullFailed) {
-	delete(co.flying, flyPull+ev.Peer)
-	co.fails[ev.Peer]++
-	name := co.daemonAt(ev.Peer)
+	delete(co.inFlight, keyPull+ev.Peer)
+	co.pullFailures[ev.Peer]++
+	name := co.daemonByPeer(ev.Peer)
 	if name == "" || co.daemons[name].State == gossip.Dead {
 		return
 	}
-	if co.fails[ev.Peer] < deadAfter {
-		co.suspect = append(co.suspect, ev.Peer)
+	if co.pullFailures[ev.Peer] < deadAfterFailures {
+		co.suspects = append(co.suspects, ev.Peer)
 		return
 	}
 	dm := co.daemons[name]
@@ -254,7 +273,9 @@
 	co.publish(doc, co.docs.Get(doc).Revision+1, dm)
 }
 
-func (co *Core) daemonAt(peer string) string {
+// daemonByPeer returns the name of the daemon with the given peer address, or
+// "" if there is none other than this daemon.
+func (co *Core) daemonByPeer(peer string) string {
 	for _, name := range sortedKeys(co.daemons) {
 		if co.daemons[name].Peer == peer && name != co.set.Name {
 			return name
@@ -263,32 +284,36 @@
 	return ""
 }
 
-// Newer returns the documents that are newer than what a peer has.
+// Newer returns the documents whose revision is higher than the one in have.
 func (co *Core) Newer(have map[string]uint64) []gossip.Doc { return co.docs.Newer(have) }
 
 func (co *Core) docsArrived(ev DocsArrived) {
-	delete(co.flying, flyDocs+ev.Peer)
+	delete(co.inFlight, keyDocs+ev.Peer)
 	for _, do := range ev.Docs {
-		co.take(do)
+		co.applyDoc(do)
 	}
 }
 
-// take stores a document if it is newer and lets its kind take effect.
-func (co *Core) take(do gossip.Doc) {
+// applyDoc stores a document if it is newer and updates the state derived from
+// documents of its kind. It ignores unknown kinds.
+func (co *Core) applyDoc(do gossip.Doc) {
 	kind, _, _ := strings.Cut(do.Name, "/")
 	switch kind {
 	case "daemons":
-		co.takeDaemon(do)
+		co.applyDaemon(do)
 	case "domains":
-		co.takeDomain(do)
+		co.applyDomain(do)
 	case "vms":
-		co.takeVMs(do)
+		co.applyVMs(do)
 	case "stewards":
-		co.takeSteward(do)
+		co.applySteward(do)
 	}
 }
 
-func (co *Core) takeDaemon(do gossip.Doc) {
+// applyDaemon applies the document of a daemon. It ignores an unknown daemon
+// that has been dead for longer than gossip.Forget, and refutes a document that
+// gives a wrong state for this daemon.
+func (co *Core) applyDaemon(do gossip.Doc) {
 	var dm gossip.Daemon
 	if json.Unmarshal(do.Value, &dm) != nil {
 		return
@@ -305,12 +330,12 @@
 		return
 	}
 	co.daemons[dm.Name] = dm
-	delete(co.fails, dm.Peer)
-	co.assign()
+	delete(co.pullFailures, dm.Peer)
+	co.assignProbes()
 }
 
-// forgetDead drops daemons that have been dead for long.
-func (co *Core) forgetDead() {
+// expireDead removes daemons that have been dead for longer than gossip.Forget.
+func (co *Core) expireDead() {
 	for name, dm := range co.daemons {
 		if dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.Forget {
 			delete(co.daemons, name)
@@ -319,8 +344,9 @@
 	}
 }
 
-// near returns the daemons of this data center that take part in its work.
-func (co *Core) near() []gossip.Daemon {
+// localDaemons returns the serving daemons of this data centre, in order of
+// name. They share its probing and may become steward.
+func (co *Core) localDaemons() []gossip.Daemon {
 	var dms []gossip.Daemon
 	for _, name := range sortedKeys(co.daemons) {
 		dm := co.daemons[name]
--- a/internal/core/control/platform_test.go
+++ b/internal/core/control/platform_test.go
@@ -15,7 +15,8 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-func (w *world) readConfig(no *node, ac control.ReadConfig) {
+// readConfig performs a ReadConfig action against the simulated platform.
+func (w *simulation) readConfig(no *node, ac control.ReadConfig) {
 	failed := control.ConfigArrived{Source: control.FlyPlatformConfig}
 	w.call(no, platformID, failed, func(answer func(control.Event)) {
 		st := chainstore.Store{KV: w.store, Clock: w.clock}
@@ -31,7 +32,8 @@
 	})
 }
 
-func (w *world) performStore(no *node, ac control.Action, now time.Time) {
+// performStore performs the actions that go to the platform's store.
+func (w *simulation) performStore(no *node, ac control.Action, now time.Time) {
 	ctx := context.Background()
 	dc := no.set.DataCenter
 	switch ac := ac.(type) {
@@ -90,7 +92,7 @@
 				answer(control.VMsRead{})
 				return
 			}
-			answer(control.VMsRead{VMs: w.listed(dc)})
+			answer(control.VMsRead{VMs: w.listVMs(dc)})
 		})
 	case control.WriteDomain:
 		w.call(no, platformID, control.DomainUncertain{Name: ac.Domain.Name}, func(answer func(control.Event)) {
@@ -110,7 +112,8 @@
 	}
 }
 
-func (w *world) listed(dc string) []fleet.VM {
+// listVMs returns the VMs in a data centre, as the platform lists them.
+func (w *simulation) listVMs(dc string) []fleet.VM {
 	vms := []fleet.VM{}
 	for _, vm := range w.vms {
 		if vm.Address == dc+"/"+vm.Name {
@@ -120,19 +123,20 @@
 	return vms
 }
 
-// setFaults changes what the platform shows.
-func (w *world) setFaults(sf standin.StoreFaults) {
+// setFaults sets the faults injected into the platform.
+func (w *simulation) setFaults(sf standin.StoreFaults) {
 	w.faults = sf
 	w.store.SetFaults(sf)
 }
 
-// apply puts a change in force through the daemon's chain.
-func (w *world) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
+// apply applies a configuration change through the given daemon and returns the
+// new revision.
+func (w *simulation) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
 	st := chainstore.Store{KV: w.store, Clock: clock.NewManual(w.clock.Now())}
 	cfg, _ := no.core.Config()
 	done, err := st.Apply(context.Background(), cfg, chainstore.Apply{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
 	if err == nil {
-		w.deliver(no, no.life, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
+		w.deliver(no, no.incarnation, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
 	}
 	return done.Revision, err
 }
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -11,48 +11,53 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// sighting is this daemon's own evidence of one VM.
-type sighting struct {
+// observation is this daemon's own evidence about one VM.
+type observation struct {
 	fleet.Sighting
-	// change is the value of Core.changes when this last changed.
-	change uint64
+	// changeSeq is the value of Core.changeSeq when the observation last
+	// changed.
+	changeSeq uint64
 	// probedAt is when the last probe was emitted.
 	probedAt time.Time
-	// sameSince is when the first of the answers arrived that all showed the
-	// VM in the state of the last one.
-	sameSince time.Time
+	// unchangedSince is when the first report arrived after which all reports
+	// showed the VM in the same membership state as the last one.
+	unchangedSince time.Time
 }
 
-// assignment says why this daemon probes a VM.
-type assignment struct {
+// probeAssignment is a VM that this daemon probes.
+type probeAssignment struct {
 	vm fleet.VM
-	// group is the VM's group; empty for a VM that is in none.
+	// group is the ID of the VM's group, empty if it is in none.
 	group string
 }
 
-// idleFactor stretches the pause between probes of VMs that are in no group.
-const idleFactor = 4
+// ungroupedPauseFactor multiplies the probe interval of VMs that are in no
+// group.
+const ungroupedPauseFactor = 4
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 func millis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-func (co *Core) takeDomain(do gossip.Doc) {
+// applyDomain applies the assignment of a fabric domain, of any data centre.
+func (co *Core) applyDomain(do gossip.Doc) {
 	var dom fleet.Domain
 	if json.Unmarshal(do.Value, &dom) != nil || !co.docs.Put(do) {
 		return
 	}
 	co.domains[do.Name] = dom
-	co.regroup()
+	co.rebuildGroups()
 }
 
-// vmsDoc is the platform's list of one data center as its steward read it.
+// vmsDoc is the list of VMs in one data centre, as its steward read it from the
+// platform.
 type vmsDoc struct {
 	DataCenter string     `json:"data-center"`
 	VMs        []fleet.VM `json:"vms"`
 }
 
-func (co *Core) takeVMs(do gossip.Doc) {
+// applyVMs applies the VM list of this data centre.
+func (co *Core) applyVMs(do gossip.Doc) {
 	var vd vmsDoc
 	if json.Unmarshal(do.Value, &vd) != nil || !co.docs.Put(do) || vd.DataCenter != co.set.DataCenter {
 		return
@@ -61,30 +66,30 @@
 	for _, vm := range vd.VMs {
 		co.vms[vm.Name] = vm
 	}
-	co.assign()
+	co.assignProbes()
 }
 
-// regroup rebuilds what is derived from the domains.
-func (co *Core) regroup() {
+// rebuildGroups recomputes the state derived from the domains.
+func (co *Core) rebuildGroups() {
 	clear(co.groups)
-	clear(co.byHash)
+	clear(co.groupByHash)
 	for _, dom := range co.domains {
 		for _, gr := range dom.Groups {
 			co.groups[gr.ID] = gr
-			co.byHash[groupHash(gr)] = gr.ID
+			co.groupByHash[groupHash(gr)] = gr.ID
 		}
 	}
 	co.permits.Forget(func(group string) bool { _, ok := co.groups[group]; return ok })
 	maps.DeleteFunc(co.rings, func(group string, _ []string) bool { _, ok := co.groups[group]; return !ok })
-	co.assign()
+	co.assignProbes()
 }
 
-// assign works out which VMs this daemon probes: two daemons for each group,
-// one for each VM that is in none. All daemons that know the same come to the
-// same answer.
-func (co *Core) assign() {
-	near := co.near()
-	next := make(map[string]assignment)
+// assignProbes determines which VMs this daemon probes. Each group is probed by
+// probersPerGroup daemons and each VM outside of any group by one. Daemons with
+// the same documents compute the same assignment.
+func (co *Core) assignProbes() {
+	local := co.localDaemons()
+	next := make(map[string]probeAssignment)
 	grouped := make(map[string]bool)
 	for _, name := range sortedKeys(co.domains) {
 		dom := co.domains[name]
@@ -92,38 +97,41 @@
 			continue
 		}
 		for _, gr := range dom.Groups {
-			mine := co.ranked(near, gr.ID, probers)
+			mine := co.ranksWithin(local, gr.ID, probersPerGroup)
 			for _, me := range gr.Members {
 				grouped[me.VM] = true
 				if mine {
-					next[me.VM] = assignment{vm: fleet.VM{Name: me.VM, Address: me.Address, Domain: dom.Name}, group: gr.ID}
+					next[me.VM] = probeAssignment{vm: fleet.VM{Name: me.VM, Address: me.Address, Domain: dom.Name}, group: gr.ID}
 				}
 			}
 		}
 	}
 	for _, name := range sortedKeys(co.vms) {
-		if !grouped[name] && co.ranked(near, name, 1) {
-			next[name] = assignment{vm: co.vms[name]}
+		if !grouped[name] && co.ranksWithin(local, name, 1) {
+			next[name] = probeAssignment{vm: co.vms[name]}
 		}
 	}
 	co.probing = next
-	for _, vm := range sortedKeys(co.seen) {
+	for _, vm := range sortedKeys(co.observations) {
 		if _, ok := next[vm]; !ok {
-			co.unsee(vm)
+			co.stopProbing(vm)
 		}
 	}
 }
 
-// unsee ends the probing of a VM and tells the steward so: a last good
-// sighting kept there would hide what the VM's next prober finds.
-func (co *Core) unsee(vm string) {
-	delete(co.seen, vm)
-	co.changes++
-	co.dropped[vm] = co.changes
+// stopProbing drops the observation of a VM and reports this to the steward.
+// Otherwise the last good observation would stay with the steward and hide what
+// the VM's next prober finds.
+func (co *Core) stopProbing(vm string) {
+	delete(co.observations, vm)
+	co.changeSeq++
+	co.droppedAt[vm] = co.changeSeq
 }
 
-func (co *Core) ranked(near []gossip.Daemon, key string, num int) bool {
-	for _, dm := range gossip.Ranked(near, key, num) {
+// ranksWithin reports whether this daemon is among the first num daemons for
+// key.
+func (co *Core) ranksWithin(dms []gossip.Daemon, key string, num int) bool {
+	for _, dm := range gossip.Ranked(dms, key, num) {
 		if dm.Name == co.set.Name {
 			return true
 		}
@@ -131,12 +139,12 @@
 	return false
 }
 
-// probePause is the pause between probes of one VM, stretched so that all of
-// this daemon's probes stay within their share of bytes.
+// probePause returns the interval between probes of a VM, extended so that the
+// probes of this daemon stay below Timing.ProbeBytes.
 func (co *Core) probePause() time.Duration {
 	pause := co.set.Timing.Probe
 	if budget := co.set.Timing.ProbeBytes; budget > 0 {
-		pause = max(pause, time.Duration(len(co.probing))*probeCost*time.Second/time.Duration(budget))
+		pause = max(pause, time.Duration(len(co.probing))*probeWireBytes*time.Second/time.Duration(budget))
 	}
 	return pause
 }
@@ -145,20 +153,21 @@
 	pause := co.probePause()
 	for _, vm := range sortedKeys(co.probing) {
 		as := co.probing[vm]
-		si := co.sightingOf(vm)
+		si := co.observationOf(vm)
 		if co.now.Sub(si.probedAt) < co.pauseFor(as, pause) {
 			continue
 		}
 		si.probedAt = co.now
-		co.emitOnce(flyProbe+vm, Probe{VM: as.vm})
+		co.emitOnce(keyProbe+vm, Probe{VM: as.vm})
 	}
 }
 
-// pauseFor spares probes where requests already prove the group whole.
-func (co *Core) pauseFor(as assignment, pause time.Duration) time.Duration {
+// pauseFor returns the probe interval for one VM. It is extended to
+// Timing.Sweep while requests prove that the VM's group is complete.
+func (co *Core) pauseFor(as probeAssignment, pause time.Duration) time.Duration {
 	gr, ok := co.groups[as.group]
 	if !ok {
-		return idleFactor * pause
+		return ungroupedPauseFactor * pause
 	}
 	pe, ok := co.permits.Permit(gr, co.now)
 	if ok && co.rings[gr.ID] != nil && co.now.Sub(pe.At) < co.set.Timing.Permit/3 && co.provenByTraffic(gr, pe) {
@@ -167,132 +176,137 @@
 	return pause
 }
 
-// provenByTraffic tells whether the evidence is newer than this daemon's own
-// probes, so that it came from requests or from the other prober.
+// provenByTraffic reports whether the evidence is newer than this daemon's own
+// probes, which means that it came from requests or from the other prober.
 func (co *Core) provenByTraffic(gr fleet.Group, pe permit.Permit) bool {
 	for _, me := range gr.Members {
-		if si, ok := co.seen[me.VM]; !ok || si.At.IsZero() || !si.At.Before(pe.At) {
+		if si, ok := co.observations[me.VM]; !ok || si.At.IsZero() || !si.At.Before(pe.At) {
 			return false
 		}
 	}
 	return true
 }
 
-func (co *Core) sightingOf(vm string) *sighting {
-	si, ok := co.seen[vm]
+func (co *Core) observationOf(vm string) *observation {
+	si, ok := co.observations[vm]
 	if !ok {
-		si = &sighting{}
-		co.seen[vm] = si
-		delete(co.dropped, vm)
+		si = &observation{}
+		co.observations[vm] = si
+		delete(co.droppedAt, vm)
 	}
 	return si
 }
 
+// probed records the result of a probe and updates the permit of the VM's
+// group. It ignores results for VMs that are no longer assigned to this daemon.
 func (co *Core) probed(ev Probed) {
-	delete(co.flying, flyProbe+ev.VM)
+	delete(co.inFlight, keyProbe+ev.VM)
 	as, ok := co.probing[ev.VM]
 	if !ok {
 		return
 	}
-	si := co.sightingOf(ev.VM)
+	si := co.observationOf(ev.VM)
 	if ev.Report == nil {
 		co.probeFailed(si, ev)
 	} else if si.At.Before(ev.SentAt) {
 		co.probeAnswered(si, ev)
 	}
 	if gr, ok := co.groups[as.group]; ok {
-		co.judge(gr, ev)
+		co.updatePermit(gr, ev)
 	}
 }
 
-func (co *Core) probeFailed(si *sighting, ev Probed) {
+func (co *Core) probeFailed(si *observation, ev Probed) {
 	if si.FailingSince.IsZero() {
 		si.FailingSince = ev.SentAt
-		co.changes++
-		si.change = co.changes
+		co.changeSeq++
+		si.changeSeq = co.changeSeq
 	}
 }
 
-func (co *Core) probeAnswered(si *sighting, ev Probed) {
+func (co *Core) probeAnswered(si *observation, ev Probed) {
 	if si.At.IsZero() || !si.FailingSince.IsZero() || !si.Report.Same(*ev.Report) {
-		co.changes++
-		si.change = co.changes
+		co.changeSeq++
+		si.changeSeq = co.changeSeq
 	}
-	if si.sameSince.IsZero() || !si.FailingSince.IsZero() || !sameMembership(si.Report, *ev.Report) {
-		si.sameSince = co.now
+	if si.unchangedSince.IsZero() || !si.FailingSince.IsZero() || !sameMembership(si.Report, *ev.Report) {
+		si.unchangedSince = co.now
 	}
 	si.Report = *ev.Report
 	si.At = ev.SentAt
 	si.FailingSince = time.Time{}
 }
 
-// judge turns the newest probe into a permit or its withdrawal.
-func (co *Core) judge(gr fleet.Group, ev Probed) {
-	if co.denies(gr, ev) {
+// updatePermit grants, renews or revokes the permit for gr after a probe of one
+// of its members. Other daemons learn of a revocation at once.
+func (co *Core) updatePermit(gr fleet.Group, ev Probed) {
+	if co.disproves(gr, ev) {
 		if co.permits.Revoke(gr.ID, co.now) {
-			co.emit(Announce{Group: gr.ID, Fence: gr.Fence, Peers: co.region()})
+			co.emit(Announce{Group: gr.ID, Fence: gr.Fence, Peers: co.regionPeers()})
 		}
 		return
 	}
-	ring, ok := gr.Whole(co.fresh)
+	ring, ok := gr.Whole(co.freshReport)
 	if !ok {
 		return
 	}
 	co.rings[gr.ID] = ring
-	oldest, newest := co.seen[ring[0]].At, time.Time{}
+	oldest, newest := co.observations[ring[0]].At, time.Time{}
 	load := fleet.Load{}
 	for _, vm := range ring {
-		si := co.seen[vm]
+		si := co.observations[vm]
 		if si.At.Before(oldest) {
 			oldest = si.At
 		}
-		if si.sameSince.After(newest) {
-			newest = si.sameSince
+		if si.unchangedSince.After(newest) {
+			newest = si.unchangedSince
 		}
 		load.PendingTokens += si.Report.Load.PendingTokens
 		load.ResidentTokens += si.Report.Load.ResidentTokens
 		load.Requests += si.Report.Load.Requests
 	}
-	// The members were probed one after the other. One may have died before
-	// another became ready, so that the group never was whole at one moment.
-	// Each member served from its first such answer to its last probe: the
-	// group was whole at a moment that lies within all of these times.
+	// The members are probed one after the other, so one may have died before
+	// another became ready and the group was never complete at any one time.
+	// Each member was ready from its unchangedSince until its last probe. Only
+	// if all these intervals overlap was the group complete.
 	if oldest.Before(newest) {
 		return
 	}
 	co.permits.Add(permit.Evidence{Group: gr.ID, Fence: gr.Fence, Leader: ring[0], At: oldest, Load: load})
 }
 
-// sameMembership tells whether a VM has stayed in one state between two
-// reports: it can't leave a ring and come back to it with the same turn.
+// sameMembership reports whether two reports show that the VM stayed in one
+// membership state in between. A VM that leaves a ring never rejoins it with
+// the same generation, so comparing the two reports is enough.
 func sameMembership(re, next fleet.Report) bool {
 	re.Load, next.Load = fleet.Load{}, fleet.Load{}
 	return re.Same(next)
 }
 
-// revoked withdraws a permit on another daemon's word. A daemon that was
-// frozen during a repair wakes up, finds the replaced member gone and tells
-// all of the group as it was: that says nothing of the group as it is now.
+// revoked withdraws a permit on another daemon's evidence. It ignores evidence
+// about an older fencing token: a daemon that was suspended during a repair may
+// resume, find the replaced member missing and report the group as it was
+// before the repair.
 func (co *Core) revoked(ev Revoked) {
 	if gr, ok := co.groups[ev.Group]; ok && ev.Fence >= gr.Fence {
 		co.permits.Revoke(ev.Group, co.now)
 	}
 }
 
-// fresh returns the report of a VM that was seen within a permit's lifetime
-// and has not failed since.
-func (co *Core) fresh(vm string) (fleet.Report, bool) {
-	si, ok := co.seen[vm]
+// freshReport returns the last report of a VM if it is younger than the
+// lifetime of a permit and no probe has failed since.
+func (co *Core) freshReport(vm string) (fleet.Report, bool) {
+	si, ok := co.observations[vm]
 	if !ok || si.At.IsZero() || !si.FailingSince.IsZero() || co.now.Sub(si.At) >= co.set.Timing.Permit {
 		return fleet.Report{}, false
 	}
 	return si.Report, true
 }
 
-// denies tells whether the probe is direct evidence that gr is not whole. A
-// timeout is none: the prober itself may be cut off. A spare's loss is none
-// either.
-func (co *Core) denies(gr fleet.Group, ev Probed) bool {
+// disproves reports whether the probe is direct evidence that gr is not
+// complete. A timeout is not, because the prober itself may be cut off. Neither
+// is the loss of a spare.
+func (co *Core) disproves(gr fleet.Group, ev Probed) bool {
 	ring, known := co.rings[gr.ID]
 	if known && !slices.Contains(ring, ev.VM) {
 		return false
@@ -305,61 +319,66 @@
 	return ok && (re.Incarnation != me.Incarnation || re.Leaving || re.Group != gr.ID || !re.Ready)
 }
 
-// answered takes a request's first token as evidence.
-func (co *Core) answered(ev Answered) {
+// responseStarted uses the first token of a response as evidence.
+func (co *Core) responseStarted(ev Answered) {
 	gr, ok := co.groups[ev.Group]
 	if !ok || gr.Fence != ev.Fence {
 		return
 	}
-	// The load is that of the last report: an answer carries none.
+	// A response carries no load, so keep the load of the last report.
 	pe, _ := co.permits.Permit(gr, co.now)
 	co.permits.Add(permit.Evidence{Group: gr.ID, Fence: ev.Fence, Leader: ev.Leader, At: ev.SentAt, Load: pe.Load})
 }
 
-// SightingsAnswer tells the steward which VMs' sightings have changed.
+// SightingsAnswer is the answer to PullSightings: the observations that have
+// changed since the last pull.
 type SightingsAnswer struct {
-	// Boot tells answers of one run of a daemon from those of another.
+	// Boot identifies the run of the answering daemon.
 	Boot int64 `cbor:"1,keyasint"`
-	// Change is where the next pull goes on.
+	// Change is the change number from which the next pull continues.
 	Change uint64         `cbor:"2,keyasint"`
 	VMs    []SightingAged `cbor:"3,keyasint,omitempty"`
-	// Whole says that VMs holds all sightings and not only changes.
+	// Whole is set if VMs holds all observations and not only the changed ones.
 	Whole bool `cbor:"4,keyasint,omitempty"`
-	// Dropped names VMs that this daemon no longer probes.
+	// Dropped holds the names of VMs that the daemon no longer probes.
 	Dropped []string `cbor:"5,keyasint,omitempty"`
 }
 
-// SightingAged is a sighting with ages in place of times.
+// SightingAged is an observation with ages in place of times, because clocks
+// differ between daemons.
 type SightingAged struct {
 	VM     string       `cbor:"1,keyasint"`
 	Report fleet.Report `cbor:"2,keyasint"`
-	// SeenAgeMS is the age of the report, -1 if there is none.
+	// SeenAgeMS is the age of the report in milliseconds, or -1 if there is
+	// none.
 	SeenAgeMS int64 `cbor:"3,keyasint"`
-	// FailingAgeMS is how long probes have failed, -1 if they succeed.
+	// FailingAgeMS is how long probes have been failing, in milliseconds, or -1
+	// if the last one succeeded.
 	FailingAgeMS int64 `cbor:"4,keyasint"`
 }
 
-// SightingsAt returns what has changed since the given change, for a steward
-// that asks at now.
+// SightingsAt returns the observations changed after change number since, or
+// all of them if since is 0, for a pull that arrives at now.
 func (co *Core) SightingsAt(now time.Time, since uint64) SightingsAnswer {
 	co.now = now
-	an := SightingsAnswer{Boot: co.started.UnixNano(), Change: co.changes, Whole: since == 0}
-	for _, vm := range sortedKeys(co.seen) {
-		si := co.seen[vm]
-		if si.change > since {
+	an := SightingsAnswer{Boot: co.started.UnixNano(), Change: co.changeSeq, Whole: since == 0}
+	for _, vm := range sortedKeys(co.observations) {
+		si := co.observations[vm]
+		if si.changeSeq > since {
 			an.VMs = append(an.VMs, SightingAged{VM: vm, Report: si.Report,
-				SeenAgeMS: co.age(si.At), FailingAgeMS: co.age(si.FailingSince)})
+				SeenAgeMS: co.ageMS(si.At), FailingAgeMS: co.ageMS(si.FailingSince)})
 		}
 	}
-	for _, vm := range sortedKeys(co.dropped) {
-		if co.dropped[vm] > since && !an.Whole {
+	for _, vm := range sortedKeys(co.droppedAt) {
+		if co.droppedAt[vm] > since && !an.Whole {
 			an.Dropped = append(an.Dropped, vm)
 		}
 	}
 	return an
 }
 
-func (co *Core) age(at time.Time) int64 {
+// ageMS returns the age of at in milliseconds, or -1 if at is zero.
+func (co *Core) ageMS(at time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
--- a/internal/core/control/random_test.go
+++ b/internal/core/control/random_test.go
@@ -12,8 +12,8 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-// TestMain fixes the seed, so that every run of the tests has the same
-// verdict. Other seeds are tried with -args -rapid.seed=N -rapid.checks=N.
+// TestMain sets a fixed seed so that the results are reproducible. Use -args
+// -rapid.seed=N -rapid.checks=N for other seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20260301", "rapid.checks": "12", "rapid.nofailfile": "true", "rapid.shrinktime": "2s"}
@@ -26,38 +26,41 @@
 	os.Exit(m.Run())
 }
 
-// Any faults in any order, several at once: kills, freezes, cuts, hanging and
-// restarting VMs, platform outages, lost answers and operators who change
-// their minds. The world checks after each event what must always hold. When
-// the faults end, what is declared is what serves.
+// Injects random faults in random order, several at once: dead, suspended and
+// partitioned daemons, dead, unresponsive and restarting VMs, platform outages,
+// lost answers, and operators who change the number of replicas. The simulation
+// checks the invariants after each event. After the faults end, the declared
+// number of groups must serve.
 func TestHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := gent(rt, rapid.Uint64Range(1, 1<<20).Draw(rt, "seed"))
+		w := newServingSimulation(rt, rapid.Uint64Range(1, 1<<20).Draw(rt, "seed"))
 		replicas := 2
 		for i := range rapid.IntRange(4, 16).Draw(rt, "faults") {
-			w.fault(rt, i, &replicas)
-			w.run(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "pause")) * time.Millisecond)
+			w.injectFault(rt, i, &replicas)
+			w.advance(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "pause")) * time.Millisecond)
 		}
-		w.healAll()
-		w.until("what is declared serves", 5*time.Minute, w.allServe(replicas))
+		w.clearFaults()
+		w.waitFor("declared number of groups serves", 5*time.Minute, w.allServe(replicas))
 	})
 }
 
-func (w *world) fault(rt *rapid.T, i int, replicas *int) {
+// injectFault injects one random fault. i makes the operation name unique, and
+// replicas receives the number of replicas last applied.
+func (w *simulation) injectFault(rt *rapid.T, i int, replicas *int) {
 	en := w.engines[w.vms[rapid.IntRange(0, len(w.vms)-1).Draw(rt, "vm")].Name]
 	no := w.daemons[w.names[rapid.IntRange(0, len(w.names)-1).Draw(rt, "daemon")]]
 	switch rapid.IntRange(0, 9).Draw(rt, "fault") {
 	case 0:
 		en.down = true
 	case 1:
-		en.silent = !en.silent
+		en.unresponsive = !en.unresponsive
 	case 2:
 		en.boot()
 	case 3:
-		no.frozen = true
+		no.suspended = true
 	case 4:
 		if no.core != nil {
-			w.thaw(no)
+			w.resume(no)
 		}
 	case 5:
 		no.kill()
@@ -67,11 +70,11 @@
 		}
 	case 7:
 		name := no.name
-		w.cut = func(a, b string) bool { return a == name || b == name }
+		w.partitioned = func(a, b string) bool { return a == name || b == name }
 	case 8:
 		w.setFaults(standin.StoreFaults{Down: !w.faults.Down, LoseAnswers: 2})
 	case 9:
-		if no.core == nil || no.frozen {
+		if no.core == nil || no.suspended {
 			return
 		}
 		sp := spec
@@ -82,22 +85,22 @@
 	}
 }
 
-// healAll ends all faults.
-func (w *world) healAll() {
+// clearFaults ends all injected faults.
+func (w *simulation) clearFaults() {
 	w.setFaults(standin.StoreFaults{})
-	w.cut = func(string, string) bool { return false }
+	w.partitioned = func(string, string) bool { return false }
 	for _, vm := range w.vms {
 		en := w.engines[vm.Name]
 		if en.down {
 			en.boot()
 		}
-		en.silent, en.leaving = false, false
+		en.unresponsive, en.leaving = false, false
 	}
 	for _, name := range w.names {
 		no := w.daemons[name]
 		if no.core == nil {
 			w.start(no)
 		}
-		w.thaw(no)
+		w.resume(no)
 	}
 }
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -6,61 +6,66 @@
 	"corianderhub.dev/corianderhub/internal/core/fleet"
 )
 
-// The steward does not probe its data center's VMs: it asks the probers for
-// what has changed, once a second, and joins their words.
+// The steward does not probe the VMs of its data centre. Once per second it
+// pulls the changed observations from the probing daemons and merges them.
 
 const (
-	// sightingsPause is the pause between two pulls of sightings.
-	sightingsPause = time.Second
-	// sourceLimit is how long a prober's sightings count without an answer.
-	sourceLimit = 6 * time.Second
+	// observationsPause is the interval between pulls of observations.
+	observationsPause = time.Second
+	// proberStateMaxAge is how long the observations of a prober stay in use
+	// after its last answer.
+	proberStateMaxAge = 6 * time.Second
 )
 
-// source is one daemon's sightings.
-type source struct {
+// proberState holds the observations received from one daemon.
+type proberState struct {
+	// boot and change are SightingsAnswer.Boot and Change of the last answer,
+	// at is when its pull was sent, and vms holds the observations by VM name.
 	boot   int64
 	change uint64
 	at     time.Time
 	vms    map[string]fleet.Sighting
 }
 
-func (co *Core) pullSightings() {
-	if !co.every("sightings", sightingsPause) {
+func (co *Core) pullObservations() {
+	if !co.due("sightings", observationsPause) {
 		return
 	}
-	for _, dm := range co.near() {
+	for _, dm := range co.localDaemons() {
 		if dm.Name == co.set.Name {
-			co.takeSightings(dm.Name, co.now, co.SightingsAt(co.now, co.sourceOf(dm.Name).change))
+			co.applyObservations(dm.Name, co.now, co.SightingsAt(co.now, co.proberStateOf(dm.Name).change))
 			continue
 		}
-		co.emitOnce(flySightings+dm.Name, PullSightings{Daemon: dm.Name, Peer: dm.Peer, Since: co.sourceOf(dm.Name).change})
+		co.emitOnce(keyObservations+dm.Name, PullSightings{Daemon: dm.Name, Peer: dm.Peer, Since: co.proberStateOf(dm.Name).change})
 	}
 }
 
-func (co *Core) sourceOf(daemon string) *source {
-	so, ok := co.steward.sources[daemon]
+func (co *Core) proberStateOf(daemon string) *proberState {
+	so, ok := co.steward.probers[daemon]
 	if !ok {
-		so = &source{vms: make(map[string]fleet.Sighting)}
-		co.steward.sources[daemon] = so
+		so = &proberState{vms: make(map[string]fleet.Sighting)}
+		co.steward.probers[daemon] = so
 	}
 	return so
 }
 
-func (co *Core) sightingsArrived(ev SightingsArrived) {
-	delete(co.flying, flySightings+ev.Daemon)
-	if ev.Answer != nil && co.steward.standing != follower {
-		co.takeSightings(ev.Daemon, ev.SentAt, *ev.Answer)
+func (co *Core) observationsArrived(ev SightingsArrived) {
+	delete(co.inFlight, keyObservations+ev.Daemon)
+	if ev.Answer != nil && co.steward.role != follower {
+		co.applyObservations(ev.Daemon, ev.SentAt, *ev.Answer)
 	}
 }
 
-func (co *Core) takeSightings(daemon string, sentAt time.Time, an SightingsAnswer) {
-	so := co.sourceOf(daemon)
+// applyObservations merges a daemon's answer into its proberState.
+func (co *Core) applyObservations(daemon string, sentAt time.Time, an SightingsAnswer) {
+	so := co.proberStateOf(daemon)
 	restarted := an.Boot != so.boot
 	if restarted || an.Whole {
-		*so = source{boot: an.Boot, vms: make(map[string]fleet.Sighting)}
+		*so = proberState{boot: an.Boot, vms: make(map[string]fleet.Sighting)}
 	}
 	if restarted && !an.Whole {
-		// The changes continue a former run's count: ask for everything.
+		// The change numbers belong to an earlier run of the daemon. Start
+		// over: the next pull requests all observations.
 		return
 	}
 	so.change = an.Change
@@ -69,29 +74,32 @@
 		delete(so.vms, vm)
 	}
 	for _, sa := range an.VMs {
-		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: aged(sentAt, sa.SeenAgeMS), FailingSince: aged(sentAt, sa.FailingAgeMS)}
+		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: timeFromAge(sentAt, sa.SeenAgeMS), FailingSince: timeFromAge(sentAt, sa.FailingAgeMS)}
 	}
 }
 
-func aged(from time.Time, ms int64) time.Time {
+// timeFromAge converts an age in milliseconds to a time, and a negative age to
+// the zero time.
+func timeFromAge(from time.Time, ms int64) time.Time {
 	if ms < 0 {
 		return time.Time{}
 	}
 	return from.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// merged joins the probers' sightings. A VM fails only while every prober
-// that sees it says so: one prober that is cut off is no evidence of a death.
-func (co *Core) merged() map[string]fleet.Sighting {
+// mergedObservations merges the observations of all probers. A VM counts as
+// failing only if all of its probers report it as failing: a single prober may
+// be cut off from a VM that works.
+func (co *Core) mergedObservations() map[string]fleet.Sighting {
 	seen := make(map[string]fleet.Sighting)
-	for _, name := range sortedKeys(co.steward.sources) {
-		so := co.steward.sources[name]
-		if co.now.Sub(so.at) > sourceLimit {
+	for _, name := range sortedKeys(co.steward.probers) {
+		so := co.steward.probers[name]
+		if co.now.Sub(so.at) > proberStateMaxAge {
 			continue
 		}
 		for vm, si := range so.vms {
 			old, ok := seen[vm]
-			if !ok || better(si, old) {
+			if !ok || preferred(si, old) {
 				seen[vm] = si
 			}
 		}
@@ -99,12 +107,15 @@
 	return seen
 }
 
-func better(si, than fleet.Sighting) bool {
-	if si.FailingSince.IsZero() != than.FailingSince.IsZero() {
+// preferred reports whether si takes precedence over other: a succeeding
+// observation over a failing one, then the later start of failure, then the
+// newer report.
+func preferred(si, other fleet.Sighting) bool {
+	if si.FailingSince.IsZero() != other.FailingSince.IsZero() {
 		return si.FailingSince.IsZero()
 	}
 	if !si.FailingSince.IsZero() {
-		return si.FailingSince.After(than.FailingSince)
+		return si.FailingSince.After(other.FailingSince)
 	}
-	return si.At.After(than.At)
+	return si.At.After(other.At)
 }
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -11,64 +11,81 @@
 	"corianderhub.dev/corianderhub/internal/core/gossip"
 )
 
-// The steward of a data center writes the assignments of its fabric domains
-// and orders the engines to follow. The lease only keeps two daemons from
-// working against each other: what keeps the state right is the
-// compare-and-swap of each domain's key, into which a new steward writes its
-// epoch before it acts.
+// The steward of a data centre writes the assignments of its fabric domains and
+// sends the orders that make the engines follow them. The lease only prevents
+// two daemons from working against each other. Correctness rests on the
+// compare-and-swap of each domain's key: a new steward writes its epoch into
+// each domain before it acts on it.
 
 const (
-	// quietTime is the longest time an order of a predecessor may still be on
-	// its way. A new steward of engines that don't check fencing waits it out.
-	quietTime = 2 * time.Second
-	// planPause is the pause between two plans.
+	// orderTransitLimit is the longest time that an order of the previous
+	// steward may be in transit. A new steward waits this long before it acts
+	// if an engine does not check fencing.
+	orderTransitLimit = 2 * time.Second
+	// planPause is the interval between plans.
 	planPause = 250 * time.Millisecond
-	// acquirePause is the pause between two tries for the lease.
+	// acquirePause is the interval between attempts to acquire the lease.
 	acquirePause = time.Second
-	// revisionBits leaves room for a steward's documents within its epoch.
+	// revisionBits is the width of the part of a document revision that counts
+	// within an epoch; the epoch is shifted left by it.
 	revisionBits = 20
-	// loadBurst is how many weight loads may start at once after a pause.
+	// loadBurst is the maximum number of weight loads started at once.
 	loadBurst = 64
 )
 
-// standing is this daemon's part in the stewardship.
-type standing int
+// stewardRole is the role of this daemon in the stewardship of its data centre.
+type stewardRole int
 
 const (
-	// follower: another daemon is or may be the steward.
-	follower standing = iota
-	// holder: the lease is held and may be used until stewardState.until.
-	holder
-	// caretaker: the lease can't be renewed because the platform is down. No
-	// other can become steward either; orders that need no write go on.
-	caretaker
+	// follower means that another daemon is, or may become, the steward.
+	follower stewardRole = iota
+	// leaseHolder means that this daemon is the steward and may act until
+	// stewardState.actUntil.
+	leaseHolder
+	// expiredHolder means that the lease could not be renewed because the
+	// platform is down. No other daemon can acquire it either, so this daemon
+	// keeps sending orders that need no write.
+	expiredHolder
 )
 
+// stewardState is the part of the Core that serves the stewardship. Except for
+// announced, it is reset when this daemon acquires or gives up the stewardship.
 type stewardState struct {
-	standing standing
-	lease    string
-	epoch    uint64
-	until    time.Time
-	quiet    time.Time
-	read     bool
-	// stored holds the assignments as last read or written, by domain.
-	stored  map[string]StoredDomain
-	vms     []fleet.VM
-	vmsRead bool
-	listRev uint64
-	ordered map[string]time.Time
-	sources map[string]*source
-	budget  float64
-	spentAt time.Time
-	account fleet.Account
-	// servingSince tells since when each group has been whole.
+	role  stewardRole
+	lease string
+	epoch uint64
+	// actUntil is when the lease, or the time granted by a failed renewal,
+	// ends. quietUntil is when orders of the previous steward can no longer
+	// arrive.
+	actUntil   time.Time
+	quietUntil time.Time
+	// domainsRead is set while stored is up to date.
+	domainsRead bool
+	// stored holds the assignments as last read or written, by domain name.
+	stored map[string]StoredDomain
+	// vms is the last list read from the platform, vmsRead whether there was
+	// one, and vmsRevision the number of changes to it in this epoch.
+	vms         []fleet.VM
+	vmsRead     bool
+	vmsRevision uint64
+	// lastOrder holds the time of the last order by VM name, and probers the
+	// received observations by daemon name.
+	lastOrder map[string]time.Time
+	probers   map[string]*proberState
+	// loadBudget is the number of weight loads that may start now, as of
+	// budgetAt.
+	loadBudget float64
+	budgetAt   time.Time
+	stats      fleet.Account
+	// servingSince holds, by group ID, the time since which each group has been
+	// complete.
 	servingSince map[string]time.Time
-	// who is the steward that was announced last.
-	who stewardDoc
+	// announced is the last known document about the steward.
+	announced stewardDoc
 }
 
-// stewardDoc tells the daemons of a data center who its steward is. Name is
-// empty when there is none; Former then should not be the next.
+// stewardDoc announces the steward of a data centre. If Name is empty there is
+// none, and Former should not become the next one.
 type stewardDoc struct {
 	Name   string `json:"name"`
 	Former string `json:"former,omitempty"`
@@ -77,9 +94,9 @@
 
 func newSteward() stewardState {
 	return stewardState{
-		stored:  make(map[string]StoredDomain),
-		ordered: make(map[string]time.Time),
-		sources: make(map[string]*source),
+		stored:    make(map[string]StoredDomain),
+		lastOrder: make(map[string]time.Time),
+		probers:   make(map[string]*proberState),
 
 		servingSince: make(map[string]time.Time),
 	}
@@ -87,38 +104,42 @@
 
 func (co *Core) stewardDocName() string { return "stewards/" + co.set.DataCenter }
 
-func (co *Core) takeSteward(do gossip.Doc) {
+// applySteward applies the announcement of a steward. It steps down if the
+// announced steward has a higher epoch.
+func (co *Core) applySteward(do gossip.Doc) {
 	var sd stewardDoc
 	if json.Unmarshal(do.Value, &sd) != nil || !co.docs.Put(do) || do.Name != co.stewardDocName() {
 		return
 	}
-	co.steward.who = sd
-	if co.steward.standing != follower && sd.Epoch > co.steward.epoch {
+	co.steward.announced = sd
+	if co.steward.role != follower && sd.Epoch > co.steward.epoch {
 		co.stepDown()
 	}
 }
 
-// stepDown stops acting as steward.
+// stepDown ends the stewardship of this daemon and releases the lease if it
+// holds it.
 func (co *Core) stepDown() {
 	st := &co.steward
-	if st.standing == follower {
+	if st.role == follower {
 		return
 	}
-	if st.standing == holder {
+	if st.role == leaseHolder {
 		co.emit(DropLease{Lease: st.lease})
 	}
-	who := st.who
+	announced := st.announced
 	*st = newSteward()
-	st.who = who
-	co.disclaim()
+	st.announced = announced
+	co.disclaimStewardship()
 }
 
-// disclaim contradicts the document that names this daemon as steward when it
-// is none. It also does so after a restart: the others, who see the daemon
-// alive, would wait for it and nobody would go for the lease.
-func (co *Core) disclaim() {
-	if who := co.steward.who; who.Name == co.set.Name && co.steward.standing != holder {
-		co.publishSteward(stewardDoc{Former: co.set.Name, Epoch: who.Epoch})
+// disclaimStewardship corrects an announcement that names this daemon as
+// steward although it does not hold the lease. This also happens after a
+// restart: the other daemons would see this one alive, wait for it, and none
+// would acquire the lease.
+func (co *Core) disclaimStewardship() {
+	if announced := co.steward.announced; announced.Name == co.set.Name && co.steward.role != leaseHolder {
+		co.publishSteward(stewardDoc{Former: co.set.Name, Epoch: announced.Epoch})
 	}
 }
 
@@ -126,119 +147,129 @@
 	co.publish(co.stewardDocName(), co.docs.Get(co.stewardDocName()).Revision+1, sd)
 }
 
+// stewardRound does the steward's periodic work, or tries to become steward.
 func (co *Core) stewardRound() {
-	co.forgetDead()
+	co.expireDead()
 	st := &co.steward
-	if st.standing == follower {
-		co.disclaim()
+	if st.role == follower {
+		co.disclaimStewardship()
 		co.tryAcquire()
 		return
 	}
-	if co.every("renew", co.set.Timing.Lease/3) {
-		co.emitOnce(flyLease, RenewLease{Lease: st.lease})
+	if co.due("renew", co.set.Timing.Lease/3) {
+		co.emitOnce(keyLease, RenewLease{Lease: st.lease})
 	}
 	co.stewardReads()
-	co.pullSightings()
-	if co.every("plan", planPause) {
+	co.pullObservations()
+	if co.due("plan", planPause) {
 		co.plan()
 	}
 }
 
-// tryAcquire goes for the lease when no living steward is known, and only the
-// daemon that ranks first does, so that the platform is not asked by all.
+// tryAcquire requests the lease if there is no live steward. Only the daemon
+// that ranks first does so, to limit the load on the platform.
 func (co *Core) tryAcquire() {
-	if co.state != gossip.Serving || co.stewardLives() || !co.cfgKnown {
+	if co.state != gossip.Serving || co.stewardAlive() || !co.cfgKnown {
 		return
 	}
-	if !co.ranked(co.candidates(), "steward/"+co.set.DataCenter, 1) {
+	if !co.ranksWithin(co.candidates(), "steward/"+co.set.DataCenter, 1) {
 		return
 	}
-	if co.every("acquire", acquirePause) {
-		co.emitOnce(flyLease, AcquireLease{})
+	if co.due("acquire", acquirePause) {
+		co.emitOnce(keyLease, AcquireLease{})
 	}
 }
 
-// candidates returns the daemons that may become steward: not the former one,
-// which may be cut off from the platform, unless it is the only one.
+// candidates returns the daemons that may become steward. It leaves out the
+// former steward, which may be cut off from the platform, unless that is the
+// only daemon.
 func (co *Core) candidates() []gossip.Daemon {
-	near := co.near()
-	if len(near) < 2 {
-		return near
+	local := co.localDaemons()
+	if len(local) < 2 {
+		return local
 	}
-	return slices.DeleteFunc(near, func(dm gossip.Daemon) bool { return dm.Name == co.steward.who.Former })
+	return slices.DeleteFunc(local, func(dm gossip.Daemon) bool { return dm.Name == co.steward.announced.Former })
 }
 
-func (co *Core) stewardLives() bool {
-	name := co.steward.who.Name
+// stewardAlive reports whether the announced steward is another daemon and is
+// serving.
+func (co *Core) stewardAlive() bool {
+	name := co.steward.announced.Name
 	return name != "" && name != co.set.Name && co.daemons[name].State == gossip.Serving
 }
 
 func (co *Core) leaseEvent(ev Event) {
-	delete(co.flying, flyLease)
+	delete(co.inFlight, keyLease)
 	st := &co.steward
 	switch ev := ev.(type) {
 	case LeaseWon:
 		co.becomeSteward(ev)
 	case LeaseRenewed:
-		st.until = ev.SentAt.Add(co.set.Timing.Lease)
-		if st.standing == caretaker {
-			st.standing = holder
+		st.actUntil = ev.SentAt.Add(co.set.Timing.Lease)
+		if st.role == expiredHolder {
+			st.role = leaseHolder
 			co.publishSteward(stewardDoc{Name: co.set.Name, Epoch: st.epoch})
 		}
 	case LeaseFailed:
-		// Only a failure met after the lease ran out shows that the platform
-		// is down for others too. A steward that was frozen has not met one
-		// and must ask before it acts again.
-		if st.standing != follower && ev.SentAt.After(st.until) {
-			st.standing = caretaker
-			st.until = ev.SentAt.Add(co.set.Timing.Lease)
-			// It may be this daemon alone that can't reach the platform: the
+		// Only a request that was sent after the lease expired, and failed,
+		// suggests that the platform is down for all daemons. A steward that
+		// was suspended has not sent such a request yet and must do so before
+		// it acts again.
+		if st.role != follower && ev.SentAt.After(st.actUntil) {
+			st.role = expiredHolder
+			st.actUntil = ev.SentAt.Add(co.set.Timing.Lease)
+			// Possibly only this daemon is cut off from the platform, so the
 			// others must not wait for it.
-			co.disclaim()
+			co.disclaimStewardship()
 		}
 	case LeaseLost:
-		if st.standing != follower {
-			st.standing = caretaker
+		if st.role != follower {
+			st.role = expiredHolder
 			co.stepDown()
 		}
 	}
 }
 
+// becomeSteward starts the stewardship, or releases the lease if this daemon is
+// leaving.
 func (co *Core) becomeSteward(ev LeaseWon) {
 	if co.state != gossip.Serving {
 		co.emit(DropLease{Lease: ev.Lease})
 		return
 	}
 	st := newSteward()
-	st.standing = holder
+	st.role = leaseHolder
 	st.lease = ev.Lease
 	st.epoch = ev.Epoch
-	st.until = ev.SentAt.Add(co.set.Timing.Lease)
-	st.quiet = co.now.Add(quietTime)
-	st.budget = loadBurst
-	st.spentAt = co.now
+	st.actUntil = ev.SentAt.Add(co.set.Timing.Lease)
+	st.quietUntil = co.now.Add(orderTransitLimit)
+	st.loadBudget = loadBurst
+	st.budgetAt = co.now
 	co.steward = st
 	co.publish(co.stewardDocName(), ev.Epoch<<revisionBits, stewardDoc{Name: co.set.Name, Epoch: ev.Epoch})
-	co.emitOnce(flyDomains, ReadDomains{})
-	co.emitOnce(flyVMs, ReadVMs{})
+	co.emitOnce(keyDomains, ReadDomains{})
+	co.emitOnce(keyVMs, ReadVMs{})
 	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
+// stewardReads emits the reads that the steward repeats: of the domains until
+// they are up to date, of the VM list, and of configuration changes.
 func (co *Core) stewardReads() {
-	if !co.steward.read && co.every("read-domains", time.Second) {
-		co.emitOnce(flyDomains, ReadDomains{})
+	if !co.steward.domainsRead && co.due("read-domains", time.Second) {
+		co.emitOnce(keyDomains, ReadDomains{})
 	}
-	if co.every("read-vms", co.set.Timing.List) {
-		co.emitOnce(flyVMs, ReadVMs{})
+	if co.due("read-vms", co.set.Timing.List) {
+		co.emitOnce(keyVMs, ReadVMs{})
 	}
 	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
+// vmsRead applies and publishes the platform's VM list if it has changed.
 func (co *Core) vmsRead(ev VMsRead) {
-	delete(co.flying, flyVMs)
+	delete(co.inFlight, keyVMs)
 	st := &co.steward
-	// A list that can't be read says nothing of the VMs on the last one.
-	if ev.VMs == nil || st.standing == follower {
+	// A failed read gives no information about the VMs on the previous list.
+	if ev.VMs == nil || st.role == follower {
 		return
 	}
 	if st.vmsRead && reflect.DeepEqual(st.vms, ev.VMs) {
@@ -246,39 +277,41 @@
 	}
 	st.vms = ev.VMs
 	st.vmsRead = true
-	st.listRev++
-	co.publish("vms/"+co.set.DataCenter, st.epoch<<revisionBits+st.listRev, vmsDoc{co.set.DataCenter, ev.VMs})
+	st.vmsRevision++
+	co.publish("vms/"+co.set.DataCenter, st.epoch<<revisionBits+st.vmsRevision, vmsDoc{co.set.DataCenter, ev.VMs})
 }
 
 func (co *Core) domainEvent(ev Event) {
 	st := &co.steward
 	switch ev := ev.(type) {
 	case DomainsRead:
-		delete(co.flying, flyDomains+ev.Only)
-		if ev.Failed || st.standing == follower {
+		delete(co.inFlight, keyDomains+ev.Only)
+		if ev.Failed || st.role == follower {
 			return
 		}
 		for _, sd := range ev.Domains {
-			co.adopt(sd)
+			co.adoptDomain(sd)
 		}
-		st.read = true
+		st.domainsRead = true
 	case DomainWritten:
-		delete(co.flying, flyWrite+ev.Domain.Name)
-		if st.standing != follower {
-			co.adopt(ev.StoredDomain)
+		delete(co.inFlight, keyWrite+ev.Domain.Name)
+		if st.role != follower {
+			co.adoptDomain(ev.StoredDomain)
 		}
 	case DomainUncertain:
-		// The write may be our own that took effect without an answer: only
-		// reading tells.
-		delete(co.flying, flyWrite+ev.Name)
-		if st.standing != follower {
-			st.read = false
+		// The write may have taken effect although its answer was lost. Only
+		// reading the key shows whether it did.
+		delete(co.inFlight, keyWrite+ev.Name)
+		if st.role != follower {
+			st.domainsRead = false
 		}
 	}
 }
 
-// adopt takes a stored assignment as the state to plan from and publishes it.
-func (co *Core) adopt(sd StoredDomain) {
+// adoptDomain uses a stored assignment as the state to plan from and publishes
+// it. It writes this steward's epoch into an assignment of an earlier epoch,
+// and steps down if the epoch is a later one.
+func (co *Core) adoptDomain(sd StoredDomain) {
 	st := &co.steward
 	if sd.Domain.Epoch > st.epoch {
 		co.stepDown()
@@ -293,19 +326,20 @@
 		dom := sd.Domain.Clone()
 		dom.Epoch = st.epoch
 		dom.Sequence++
-		co.write(dom)
+		co.writeDomain(dom)
 	}
 }
 
-// DomainKey returns the key of a fabric domain's assignment.
+// DomainKey returns the platform key, and document name, of a fabric domain's
+// assignment. With an empty domain it returns the prefix for the data centre.
 func DomainKey(dataCenter, domain string) string { return "domains/" + dataCenter + "/" + domain }
 
-func (co *Core) write(dom fleet.Domain) {
-	co.emitOnce(flyWrite+dom.Name, WriteDomain{Domain: dom, IfRevision: co.steward.stored[dom.Name].Revision})
+func (co *Core) writeDomain(dom fleet.Domain) {
+	co.emitOnce(keyWrite+dom.Name, WriteDomain{Domain: dom, IfRevision: co.steward.stored[dom.Name].Revision})
 }
 
-// input returns what a plan depends on now.
-func (co *Core) input() fleet.Input {
+// planInput returns the input of the next plan.
+func (co *Core) planInput() fleet.Input {
 	st := &co.steward
 	in := fleet.Input{
 		Now:        co.now,
@@ -313,12 +347,12 @@
 		Config:     co.cfg,
 		VMs:        st.vms,
 		Domains:    make(map[string]fleet.Domain, len(st.stored)),
-		Seen:       co.merged(),
-		Ordered:    st.ordered,
+		Seen:       co.mergedObservations(),
+		Ordered:    st.lastOrder,
 		Epoch:      st.epoch,
 
 		ServingSince: st.servingSince,
-		LoadBudget:   int(st.budget),
+		LoadBudget:   int(st.loadBudget),
 		DrainAfter:   co.set.Timing.Permit,
 		Policy:       co.set.Policy,
 	}
@@ -328,23 +362,24 @@
 	return in
 }
 
-// plan carries out one plan as far as the lease allows.
+// plan computes a plan and emits its writes and orders, as far as the role and
+// the lease allow.
 func (co *Core) plan() {
 	st := &co.steward
-	if !st.read || !st.vmsRead || !co.cfgKnown || !co.now.Before(st.until) {
+	if !st.domainsRead || !st.vmsRead || !co.cfgKnown || !co.now.Before(st.actUntil) {
 		return
 	}
-	co.refill()
-	in := co.input()
-	st.account = fleet.Count(in)
-	co.noteServing()
-	if co.now.Before(st.quiet) && !co.allCheckFencing() {
+	co.refillLoadBudget()
+	in := co.planInput()
+	st.stats = fleet.Count(in)
+	co.updateServingSince()
+	if co.now.Before(st.quietUntil) && !co.allCheckFencing() {
 		return
 	}
 	out := fleet.Plan(in)
 	for _, dom := range out.Writes {
-		if st.standing == holder && co.taken(dom.Name) {
-			co.write(dom)
+		if st.role == leaseHolder && co.ownsDomain(dom.Name) {
+			co.writeDomain(dom)
 		}
 	}
 	for _, or := range out.Orders {
@@ -352,11 +387,11 @@
 	}
 }
 
-// noteServing keeps since when each group has been whole.
-func (co *Core) noteServing() {
+// updateServingSince records the time since which each group has been complete.
+func (co *Core) updateServingSince() {
 	st := &co.steward
 	since := make(map[string]time.Time)
-	for _, group := range st.account.Whole {
+	for _, group := range st.stats.Whole {
 		since[group] = co.now
 		if at, ok := st.servingSince[group]; ok {
 			since[group] = at
@@ -365,9 +400,9 @@
 	st.servingSince = since
 }
 
-// taken tells whether this steward's epoch is written in the domain, or the
-// domain has no key yet.
-func (co *Core) taken(domain string) bool {
+// ownsDomain reports whether the stored assignment of a domain carries this
+// steward's epoch or does not exist yet.
+func (co *Core) ownsDomain(domain string) bool {
 	sd, ok := co.steward.stored[domain]
 	return !ok || sd.Domain.Epoch == co.steward.epoch
 }
@@ -381,40 +416,48 @@
 	return true
 }
 
+// sendOrder emits an order unless one to the same VM is in flight or this
+// steward does not own the VM's domain. Orders that load weights count against
+// the load budget.
 func (co *Core) sendOrder(or fleet.Order) {
 	st := &co.steward
 	vm := or.Target()
-	if co.flying[flyOrder+vm.Name] || !co.taken(vm.Domain) {
+	if co.inFlight[keyOrder+vm.Name] || !co.ownsDomain(vm.Domain) {
 		return
 	}
 	switch or := or.(type) {
 	case fleet.Join:
 		if or.Loads {
-			st.budget--
+			st.loadBudget--
 		}
 	case fleet.Prepare:
-		st.budget--
+		st.loadBudget--
 	case fleet.Release:
 	}
-	st.ordered[vm.Name] = co.now
-	co.emitOnce(flyOrder+vm.Name, SendOrder{Order: or})
+	st.lastOrder[vm.Name] = co.now
+	co.emitOnce(keyOrder+vm.Name, SendOrder{Order: or})
 }
 
-// refill paces weight loads for the weight store's limit.
-func (co *Core) refill() {
+// refillLoadBudget limits the rate of weight loads to Policy.LoadsPerMinute,
+// for the sake of the weight store.
+func (co *Core) refillLoadBudget() {
 	st := &co.steward
 	rate := co.cfg.Policy.LoadsPerMinute
 	if rate == 0 {
-		st.budget = loadBurst
+		st.loadBudget = loadBurst
 		return
 	}
-	st.budget += co.now.Sub(st.spentAt).Minutes() * float64(rate)
-	st.budget = min(st.budget, float64(rate), loadBurst)
-	st.spentAt = co.now
+	st.loadBudget += co.now.Sub(st.budgetAt).Minutes() * float64(rate)
+	st.loadBudget = min(st.loadBudget, float64(rate), loadBurst)
+	st.budgetAt = co.now
 }
 
-// StewardStatus describes the stewardship for status pages and metrics.
+// StewardStatus describes the stewardship of this data centre for status pages
+// and metrics.
 type StewardStatus struct {
+	// Steward is the announced steward and Epoch its epoch. Mine is set if this
+	// daemon has a role in the stewardship, and Acting if it holds a lease that
+	// has not expired.
 	Steward string        `json:"steward"`
 	Epoch   uint64        `json:"epoch"`
 	Mine    bool          `json:"mine"`
@@ -422,17 +465,17 @@
 	Account fleet.Account `json:"account"`
 }
 
-// Steward returns the state of the stewardship.
+// Steward returns the status of the stewardship as of the last event.
 func (co *Core) Steward() StewardStatus {
 	st := &co.steward
 	return StewardStatus{
-		Steward: st.who.Name,
-		Epoch:   st.who.Epoch,
-		Mine:    st.standing != follower,
-		Acting:  st.standing == holder && co.now.Before(st.until),
-		Account: st.account,
+		Steward: st.announced.Name,
+		Epoch:   st.announced.Epoch,
+		Mine:    st.role != follower,
+		Acting:  st.role == leaseHolder && co.now.Before(st.actUntil),
+		Account: st.stats,
 	}
 }
 
-// DomainName returns the domain's name within a domain key.
+// DomainName returns the domain name in a key made by DomainKey.
 func DomainName(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
--- a/internal/core/control/view.go
+++ b/internal/core/control/view.go
@@ -7,33 +7,36 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// View is what traffic needs to know of the control state. It is not changed
-// after it was made, so that other goroutines may read it.
+// View is a snapshot of the control state for request dispatch and status
+// pages. It is immutable and safe for concurrent use.
 type View struct {
 	Config *intent.Config
-	// Ready means that the configuration is known and the daemon stays.
+	// Ready is set if the configuration is known and the daemon is not leaving.
 	Ready   bool
 	Leaving bool
-	// Groups are the groups of the region that may be sent to, until their
-	// permits expire.
+	// Groups are the groups that requests may be sent to, each until its permit
+	// expires.
 	Groups []Target
-	// Daemons are all known daemons, this one included.
+	// Daemons are all known daemons, including this one and dead ones, in order
+	// of name.
 	Daemons []gossip.Daemon
 	Steward StewardStatus
-	// index finds a group in Groups.
+	// index maps a group ID to its position in Groups.
 	index map[string]int
 }
 
-// Target is a group that requests may be sent to.
+// Target is a group that requests may be sent to. Address is that of its
+// leader.
 type Target struct {
 	Group   fleet.Group
 	Permit  permit.Permit
 	Address string
-	// Near means that the group is in this daemon's data center.
+	// Near reports whether the group is in this daemon's data centre.
 	Near bool
 }
 
-// View returns the present view.
+// View returns a snapshot of the state as of the last event. It leaves out
+// draining groups.
 func (co *Core) View() *View {
 	vi := &View{
 		Config:  co.cfg,
@@ -63,7 +66,8 @@
 	return vi
 }
 
-// Domains returns the known assignments for status pages.
+// Domains returns the known assignments of all data centres, in order of data
+// centre and name.
 func (co *Core) Domains() []fleet.Domain {
 	var doms []fleet.Domain
 	for _, key := range sortedKeys(co.domains) {
@@ -72,7 +76,7 @@
 	return doms
 }
 
-// Find returns the target of that group.
+// Find returns the target with the given group ID, and whether there is one.
 func (vi *View) Find(group string) (Target, bool) {
 	ix, ok := vi.index[group]
 	if !ok {
--- a/internal/core/control/world_test.go
+++ b/internal/core/control/world_test.go
@@ -16,11 +16,11 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-// world runs several control cores against fakes of the platform and the
-// engines on a clock of its own, one event at a time and always in the same
-// order for the same seed. It checks what must always hold after each event.
-type world struct {
-	t       failer
+// simulation runs several Cores against a simulated platform and simulated
+// engines on a manual clock. It processes one event at a time, in an order that
+// depends only on the seed, and checks the invariants after each event.
+type simulation struct {
+	t       testingT
 	clock   *clock.Manual
 	rnd     *rand.Rand
 	store   *standin.Store
@@ -31,48 +31,57 @@
 	names   []string
 	queue   schedule
 	seq     int
-	// cut tells whether nothing passes between two parties.
-	cut func(a, b string) bool
-	// delay is how long a message takes beyond the usual latency.
+	// partitioned reports whether messages between two parties are lost.
+	partitioned func(a, b string) bool
+	// delay returns the extra latency of a message.
 	delay func(from, to string) time.Duration
-	// stored is the highest sequence written for each domain.
-	stored map[string]uint64
-	// whole is when each group at a fencing number was last whole in truth.
-	whole map[string]time.Time
+	// maxSequence holds the highest sequence number stored for each domain key.
+	maxSequence map[string]uint64
+	// lastComplete holds, by groupKey, when each group was last complete
+	// according to the engines.
+	lastComplete map[string]time.Time
 }
 
-// failer is what the tests and rapid's checks have in common.
-type failer interface {
+// testingT is the common subset of *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
 const (
+	// latency is the minimum one-way latency of a message, and the bound of the
+	// random part added to it. step is the interval at which waitFor tests its
+	// condition. platformID names the platform in partitioned and delay.
 	latency     = 2 * time.Millisecond
 	callTimeout = time.Second
 	step        = 10 * time.Millisecond
 	platformID  = "platform"
 )
 
-// node is a daemon's process.
+// node is a daemon and its current process. core is nil while no process runs.
 type node struct {
-	name     string
-	set      control.Settings
-	core     *control.Core
-	frozen   bool
-	inbox    []func()
+	name      string
+	set       control.Settings
+	core      *control.Core
+	suspended bool
+	// inbox holds the events that arrived while the process was suspended.
+	inbox []func()
+	// revision is the highest configuration revision observed by check.
 	revision uint64
-	// life tells answers to a former process of that name apart.
-	life int
+	// incarnation changes with each process, so that answers to a former
+	// process of the same daemon are dropped.
+	incarnation int
 }
 
+// task is a function scheduled for a time. seq orders tasks with equal times.
 type task struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
+// schedule is a heap.Interface of tasks, ordered by time.
 type schedule []task
 
 func (sc schedule) Len() int { return len(sc) }
@@ -94,30 +103,30 @@
 	return last
 }
 
-func newWorld(t failer, seed uint64) *world {
-	w := &world{
-		t:       t,
-		clock:   clock.NewManual(time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)),
-		rnd:     rand.New(rand.NewPCG(seed, 1)),
-		engines: make(map[string]*engine),
-		daemons: make(map[string]*node),
-		cut:     func(string, string) bool { return false },
-		delay:   func(string, string) time.Duration { return 0 },
-		stored:  make(map[string]uint64),
-		whole:   make(map[string]time.Time),
+func newSimulation(t testingT, seed uint64) *simulation {
+	w := &simulation{
+		t:            t,
+		clock:        clock.NewManual(time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)),
+		rnd:          rand.New(rand.NewPCG(seed, 1)),
+		engines:      make(map[string]*engine),
+		daemons:      make(map[string]*node),
+		partitioned:  func(string, string) bool { return false },
+		delay:        func(string, string) time.Duration { return 0 },
+		maxSequence:  make(map[string]uint64),
+		lastComplete: make(map[string]time.Time),
 	}
 	w.store = standin.NewStore(w.clock)
 	return w
 }
 
-// at schedules run after wait.
-func (w *world) at(wait time.Duration, run func()) {
+// after schedules run to be called after wait.
+func (w *simulation) after(wait time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.queue, task{w.clock.Now().Add(wait), w.seq, run})
 }
 
-// run lets that much time pass.
-func (w *world) run(dur time.Duration) {
+// advance advances the clock by dur and runs the tasks that fall due.
+func (w *simulation) advance(dur time.Duration) {
 	end := w.clock.Now().Add(dur)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
 		ta := heap.Pop(&w.queue).(task)
@@ -127,20 +136,21 @@
 	w.clock.Advance(end.Sub(w.clock.Now()))
 }
 
-// until lets time pass until ok, and fails the test after limit.
-func (w *world) until(what string, limit time.Duration, ok func() bool) time.Duration {
+// waitFor advances the clock until ok returns true and returns the time that
+// took. It fails the test after limit.
+func (w *simulation) waitFor(what string, limit time.Duration, ok func() bool) time.Duration {
 	w.t.Helper()
 	begin := w.clock.Now()
 	for !ok() {
 		if w.clock.Now().Sub(begin) > limit {
-			w.t.Fatalf("after %v still not: %s\n%s", limit, what, w.dump())
+			w.t.Fatalf("condition not met within %v: %s\n%s", limit, what, w.dump())
 		}
-		w.run(step)
+		w.advance(step)
 	}
 	return w.clock.Now().Sub(begin)
 }
 
-func (w *world) addVMs(dc, domain string, num int) {
+func (w *simulation) addVMs(dc, domain string, num int) {
 	for i := range num {
 		name := fmt.Sprintf("%s-%d", domain, i)
 		vm := fleet.VM{Name: name, Address: dc + "/" + name, Domain: domain}
@@ -151,7 +161,7 @@
 	}
 }
 
-func (w *world) addDaemon(name, dc string) *node {
+func (w *simulation) addDaemon(name, dc string) *node {
 	no := &node{name: name, set: control.Settings{Name: name, DataCenter: dc, Region: "r", Caller: name, Peer: name, Timing: control.DefaultTiming}}
 	for other := range maps.Keys(w.daemons) {
 		no.set.Seeds = append(no.set.Seeds, other)
@@ -163,33 +173,35 @@
 	return no
 }
 
-// start begins a new process of the daemon.
-func (w *world) start(no *node) {
-	no.life++
-	no.frozen, no.inbox, no.revision = false, nil, 0
+// start starts a new process of the daemon.
+func (w *simulation) start(no *node) {
+	no.incarnation++
+	no.suspended, no.inbox, no.revision = false, nil, 0
 	no.core = control.New(no.set, w.clock.Now())
-	w.tick(no, no.life)
+	w.tick(no, no.incarnation)
 }
 
-// kill ends the daemon's process.
+// kill ends the daemon's process without a shutdown.
 func (no *node) kill() {
-	no.life++
+	no.incarnation++
 	no.core = nil
 }
 
-func (w *world) tick(no *node, life int) {
-	if no.life != life {
+// tick delivers a Tick every 50 ms while the process runs.
+func (w *simulation) tick(no *node, incarnation int) {
+	if no.incarnation != incarnation {
 		return
 	}
-	if !no.frozen {
-		w.deliver(no, life, control.Tick{})
+	if !no.suspended {
+		w.deliver(no, incarnation, control.Tick{})
 	}
-	w.at(50*time.Millisecond, func() { w.tick(no, life) })
+	w.after(50*time.Millisecond, func() { w.tick(no, incarnation) })
 }
 
-// thaw lets a frozen daemon go on: what arrived meanwhile is handled now.
-func (w *world) thaw(no *node) {
-	no.frozen = false
+// resume continues a suspended daemon, which first handles what arrived while
+// it was suspended.
+func (w *simulation) resume(no *node) {
+	no.suspended = false
 	inbox := no.inbox
 	no.inbox = nil
 	for _, run := range inbox {
@@ -197,20 +209,23 @@
 	}
 }
 
-// on runs fn in the daemon's process, later if it is frozen.
-func (no *node) on(life int, fn func()) {
-	if no.life != life {
+// runOn calls fn in the given process of the daemon, after resume if it is
+// suspended, or not at all if the process has ended.
+func (no *node) runOn(incarnation int, fn func()) {
+	if no.incarnation != incarnation {
 		return
 	}
-	if no.frozen {
-		no.inbox = append(no.inbox, func() { no.on(life, fn) })
+	if no.suspended {
+		no.inbox = append(no.inbox, func() { no.runOn(incarnation, fn) })
 		return
 	}
 	fn()
 }
 
-func (w *world) deliver(no *node, life int, ev control.Event) {
-	no.on(life, func() {
+// deliver passes an event to the daemon's Core, performs the resulting actions
+// and checks the invariants.
+func (w *simulation) deliver(no *node, incarnation int, ev control.Event) {
+	no.runOn(incarnation, func() {
 		for _, ac := range no.core.Step(w.clock.Now(), ev) {
 			w.perform(no, ac)
 		}
@@ -218,25 +233,26 @@
 	})
 }
 
-// call carries a message there and back. handle runs at the other end and
-// returns the event for the answer; failed is the event if none comes in time.
-func (w *world) call(no *node, to string, failed control.Event, handle func(answer func(control.Event))) {
-	life, done := no.life, false
+// call sends a message and delivers the answer. handle runs on the receiving
+// side and passes the event to deliver to answer. The event failed is delivered
+// instead if there is no answer within callTimeout.
+func (w *simulation) call(no *node, to string, failed control.Event, handle func(answer func(control.Event))) {
+	incarnation, done := no.incarnation, false
 	finish := func(ev control.Event) {
 		if !done && ev != nil {
 			done = true
-			w.deliver(no, life, ev)
+			w.deliver(no, incarnation, ev)
 		}
 	}
-	w.at(callTimeout, func() { finish(failed) })
-	if w.cut(no.name, to) {
+	w.after(callTimeout, func() { finish(failed) })
+	if w.partitioned(no.name, to) {
 		return
 	}
 	delay := latency + time.Duration(w.rnd.Int64N(int64(latency)))
-	w.at(delay+w.delay(no.name, to), func() {
+	w.after(delay+w.delay(no.name, to), func() {
 		handle(func(ev control.Event) {
-			w.at(delay, func() {
-				if !w.cut(no.name, to) {
+			w.after(delay, func() {
+				if !w.partitioned(no.name, to) {
 					finish(ev)
 				}
 			})
@@ -244,36 +260,38 @@
 	})
 }
 
-// ask calls another daemon.
-func (w *world) ask(no *node, to string, failed control.Event, handle func(co *control.Core) control.Event) {
+// callDaemon calls another daemon. A daemon that is not running answers with
+// failed.
+func (w *simulation) callDaemon(no *node, to string, failed control.Event, handle func(co *control.Core) control.Event) {
 	w.call(no, to, failed, func(answer func(control.Event)) {
 		other, ok := w.daemons[to]
 		if !ok || other.core == nil {
 			answer(failed)
 			return
 		}
-		other.on(other.life, func() { answer(handle(other.core)) })
+		other.runOn(other.incarnation, func() { answer(handle(other.core)) })
 	})
 }
 
-func (w *world) perform(no *node, ac control.Action) {
+// perform performs an action of the daemon.
+func (w *simulation) perform(no *node, ac control.Action) {
 	now := w.clock.Now()
 	switch ac := ac.(type) {
 	case control.Probe:
 		w.probe(no, ac, now)
 	case control.Pull:
-		w.ask(no, ac.Peer, control.PullFailed{Peer: ac.Peer}, func(co *control.Core) control.Event {
+		w.callDaemon(no, ac.Peer, control.PullFailed{Peer: ac.Peer}, func(co *control.Core) control.Event {
 			other := w.daemons[ac.Peer]
-			w.deliver(other, other.life, control.Asked{Peer: no.name, Revision: ac.Revision})
+			w.deliver(other, other.incarnation, control.Asked{Peer: no.name, Revision: ac.Revision})
 			return control.Pulled{Peer: ac.Peer, SentAt: now, Answer: co.PullAt(w.clock.Now())}
 		})
 	case control.FetchDocs:
-		w.ask(no, ac.Peer, control.DocsArrived{Peer: ac.Peer}, func(co *control.Core) control.Event {
+		w.callDaemon(no, ac.Peer, control.DocsArrived{Peer: ac.Peer}, func(co *control.Core) control.Event {
 			return control.DocsArrived{Peer: ac.Peer, Docs: co.Newer(ac.Have)}
 		})
 	case control.FetchConfig:
 		failed := control.ConfigArrived{Source: control.FlyPeerConfig}
-		w.ask(no, ac.Peer, failed, func(co *control.Core) control.Event {
+		w.callDaemon(no, ac.Peer, failed, func(co *control.Core) control.Event {
 			an, err := co.ConfigAfter(ac.After)
 			if err != nil {
 				return failed
@@ -286,14 +304,14 @@
 		})
 	case control.Announce:
 		for _, to := range ac.Peers {
-			w.ask(no, to, nil, func(co *control.Core) control.Event {
+			w.callDaemon(no, to, nil, func(co *control.Core) control.Event {
 				other := w.daemons[to]
-				w.deliver(other, other.life, control.Revoked{Group: ac.Group, Fence: ac.Fence})
+				w.deliver(other, other.incarnation, control.Revoked{Group: ac.Group, Fence: ac.Fence})
 				return nil
 			})
 		}
 	case control.PullSightings:
-		w.ask(no, ac.Peer, control.SightingsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
+		w.callDaemon(no, ac.Peer, control.SightingsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
 			an := co.SightingsAt(w.clock.Now(), ac.Since)
 			return control.SightingsArrived{Daemon: ac.Daemon, SentAt: now, Answer: &an}
 		})
@@ -306,7 +324,8 @@
 	}
 }
 
-// serving returns how many groups the daemon may send to.
+// serving returns the number of groups for which the daemon holds a valid
+// permit.
 func (no *node) serving(now time.Time) int {
 	num := 0
 	for _, ta := range no.core.View().Groups {
@@ -317,12 +336,13 @@
 	return num
 }
 
-// allServe tells whether every living daemon may send to num groups.
-func (w *world) allServe(num int) func() bool {
+// allServe returns a condition that holds while every running daemon that is
+// not suspended holds valid permits for exactly num groups.
+func (w *simulation) allServe(num int) func() bool {
 	return func() bool {
 		for _, name := range w.names {
 			no := w.daemons[name]
-			if no.core != nil && !no.frozen && no.serving(w.clock.Now()) != num {
+			if no.core != nil && !no.suspended && no.serving(w.clock.Now()) != num {
 				return false
 			}
 		}
@@ -330,8 +350,8 @@
 	}
 }
 
-// steward returns the daemon that acts as steward of the data center.
-func (w *world) steward(dc string) *node {
+// steward returns the daemon that acts as steward of the data centre, or nil.
+func (w *simulation) steward(dc string) *node {
 	for _, name := range w.names {
 		no := w.daemons[name]
 		if no.core != nil && no.set.DataCenter == dc && no.core.Steward().Acting {
@@ -351,24 +371,25 @@
 	return fleet.Group{}
 }
 
-// model and spec are what most tests declare.
+// model and spec are the model and the group that most tests declare.
 var (
 	model = intent.Model{Name: "linden", Version: "1", VMs: 2, LoadTime: intent.Duration(time.Second), ChecksFencing: true, CapacityTokens: 1000}
 	spec  = intent.Group{Name: "g", Model: "linden", DataCenter: "gent", Replicas: 2, Role: intent.RoleMixed}
 )
 
-// gent returns a world with three daemons and six VMs in one fabric domain,
-// and two groups of two VMs serving.
-func gent(t failer, seed uint64) *world {
-	w := newWorld(t, seed)
+// newServingSimulation returns a simulation of the data centre gent with three
+// daemons, six VMs in one fabric domain, and two serving groups of two VMs
+// each.
+func newServingSimulation(t testingT, seed uint64) *simulation {
+	w := newSimulation(t, seed)
 	w.addVMs("gent", "a", 6)
 	for _, name := range []string{"d1", "d2", "d3"} {
 		w.addDaemon(name, "gent")
 	}
-	w.run(2 * time.Second)
+	w.advance(2 * time.Second)
 	if _, err := w.apply(w.daemons["d1"], "first", model, spec); err != nil {
 		t.Fatal(err)
 	}
-	w.until("two groups serve", 20*time.Second, w.allServe(2))
+	w.waitFor("two groups serve", 20*time.Second, w.allServe(2))
 	return w
 }
