--- a/internal/core/permit/permit.go
+++ b/internal/core/permit/permit.go
@@ -22,7 +22,8 @@
 	Fence uint64
 	// Leader is the name of the VM that accepts the group's requests.
 	Leader string
-	// At is the time at which the oldest of the underlying probes was sent.
+	// At is when the oldest of the underlying probes was sent, or when the
+	// answered request was dispatched.
 	At   time.Time
 	Load fleet.Load
 }
