--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -307,7 +307,7 @@
 	now := de.se.Clock.Now()
 	co := de.co
 	if de.last.IsZero() {
-		de.se.Control.Post(control.Answered{Group: de.target.Group.ID, Fence: de.target.Group.Fence,
+		de.se.Control.Post(control.ResponseStarted{Group: de.target.Group.ID, Fence: de.target.Group.Fence,
 			Leader: de.target.Permit.Leader, SentAt: de.sentAt})
 		if co.count == 0 {
 			firstToken.Update(now.Sub(co.ex.record.Begin).Seconds())
--- a/internal/core/control/action.go
+++ b/internal/core/control/action.go
@@ -38,16 +38,17 @@
 	Wait  bool
 }
 
-// Announce tells peers that a group is no longer complete. No event answers it.
-type Announce struct {
+// BroadcastRevocation tells peers that a group is no longer complete. No event
+// answers it.
+type BroadcastRevocation struct {
 	Group string
 	Fence uint64
 	Peers []string
 }
 
-// PullSightings requests, from a daemon that probes, the observations changed
+// PullObservations requests, from a daemon that probes, the observations changed
 // after change number Since.
-type PullSightings struct {
+type PullObservations struct {
 	Daemon string
 	Peer   string
 	Since  uint64
@@ -59,8 +60,8 @@
 // RenewLease extends the steward's lease.
 type RenewLease struct{ Lease string }
 
-// DropLease releases the steward's lease. No event answers it.
-type DropLease struct{ Lease string }
+// ReleaseLease releases the steward's lease. No event answers it.
+type ReleaseLease struct{ Lease string }
 
 // ReadDomains reads the stored assignments of this data centre, or only that of
 // domain Only if it is not empty.
@@ -79,20 +80,20 @@
 // SendOrder sends an order to the engine on the order's target VM.
 type SendOrder struct{ Order fleet.Order }
 
-func (Probe) isAction()         {}
-func (Pull) isAction()          {}
-func (FetchDocs) isAction()     {}
-func (FetchConfig) isAction()   {}
-func (ReadConfig) isAction()    {}
-func (Announce) isAction()      {}
-func (PullSightings) isAction() {}
-func (AcquireLease) isAction()  {}
-func (RenewLease) isAction()    {}
-func (DropLease) isAction()     {}
-func (ReadDomains) isAction()   {}
-func (ReadVMs) isAction()       {}
-func (WriteDomain) isAction()   {}
-func (SendOrder) isAction()     {}
+func (Probe) isAction()               {}
+func (Pull) isAction()                {}
+func (FetchDocs) isAction()           {}
+func (FetchConfig) isAction()         {}
+func (ReadConfig) isAction()          {}
+func (BroadcastRevocation) isAction() {}
+func (PullObservations) isAction()    {}
+func (AcquireLease) isAction()        {}
+func (RenewLease) isAction()          {}
+func (ReleaseLease) isAction()        {}
+func (ReadDomains) isAction()         {}
+func (ReadVMs) isAction()             {}
+func (WriteDomain) isAction()         {}
+func (SendOrder) isAction()           {}
 
 // Keys and key prefixes of Core.inFlight.
 const (
@@ -105,8 +106,8 @@
 	keyLease        = "lease"
 	keyDomains      = "domains"
 	keyVMs          = "vms"
-	// FlyPeerConfig and FlyPlatformConfig are also the values of
+	// SourcePeerConfig and SourcePlatformConfig are also the values of
 	// ConfigArrived.Source.
-	FlyPeerConfig     = "config-peer"
-	FlyPlatformConfig = "config-platform"
+	SourcePeerConfig     = "config-peer"
+	SourcePlatformConfig = "config-platform"
 )
--- a/internal/core/control/config.go
+++ b/internal/core/control/config.go
@@ -13,7 +13,7 @@
 		return
 	}
 	if co.due("boot-config", peerConfigWait) {
-		co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision})
+		co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision})
 	}
 }
 
--- a/internal/core/control/control.go
+++ b/internal/core/control/control.go
@@ -171,7 +171,7 @@
 }
 
 // Step processes one event at now and returns the resulting actions. Every
-// action except Announce and DropLease is answered by an event.
+// action except BroadcastRevocation and ReleaseLease is answered by an event.
 func (co *Core) Step(now time.Time, ev Event) []Action {
 	co.now = now
 	co.actions = nil
@@ -182,13 +182,13 @@
 		co.leave()
 	case Probed:
 		co.probed(ev)
-	case Answered:
+	case ResponseStarted:
 		co.responseStarted(ev)
 	case Pulled:
 		co.pulled(ev)
 	case PullFailed:
 		co.pullFailed(ev)
-	case Asked:
+	case PullReceived:
 		co.pullReceived(ev)
 	case DocsArrived:
 		co.docsArrived(ev)
@@ -196,11 +196,11 @@
 		co.configArrived(ev)
 	case Revoked:
 		co.revoked(ev)
-	case SightingsArrived:
+	case ObservationsArrived:
 		co.observationsArrived(ev)
-	case LeaseWon, LeaseRenewed, LeaseFailed, LeaseLost:
+	case LeaseAcquired, LeaseRenewed, LeaseFailed, LeaseLost:
 		co.leaseEvent(ev)
-	case DomainsRead, DomainWritten, DomainUncertain:
+	case DomainsRead, DomainWritten, DomainWriteUnconfirmed:
 		co.domainEvent(ev)
 	case VMsRead:
 		co.vmsRead(ev)
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -29,10 +29,10 @@
 	Refused bool
 }
 
-// Answered reports that a group began to answer a request that was dispatched
-// at SentAt. A group answers only if it is complete, so it was complete at some
-// time since then.
-type Answered struct {
+// ResponseStarted reports that a group began to answer a request that was
+// dispatched at SentAt. A group answers only if it is complete, so it was
+// complete at some time since then.
+type ResponseStarted struct {
 	Group  string
 	Fence  uint64
 	Leader string
@@ -58,8 +58,8 @@
 // ConfigArrived delivers configuration from a peer or from the platform.
 // Snapshot is nil if only entries were sent.
 type ConfigArrived struct {
-	// Source is the Core.inFlight key of the fetch: FlyPeerConfig or
-	// FlyPlatformConfig.
+	// Source is the Core.inFlight key of the fetch: SourcePeerConfig or
+	// SourcePlatformConfig.
 	Source string
 	// Known is set if the source was reached and the event holds everything it
 	// has.
@@ -68,8 +68,8 @@
 	Entries  []chain.Entry
 }
 
-// Asked reports that a peer has pulled from this daemon.
-type Asked struct {
+// PullReceived reports that a peer has pulled from this daemon.
+type PullReceived struct {
 	Peer string
 	// Revision is the revision of the peer's own document.
 	Revision uint64
@@ -82,17 +82,17 @@
 	Fence uint64
 }
 
-// SightingsArrived is the result of PullSightings. Answer is nil if the pull
-// failed.
-type SightingsArrived struct {
+// ObservationsArrived is the result of PullObservations. Answer is nil if the
+// pull failed.
+type ObservationsArrived struct {
 	Daemon string
 	SentAt time.Time
-	Answer *SightingsAnswer
+	Answer *ObservationsAnswer
 }
 
-// LeaseWon reports that this daemon acquired the steward's lease. The lease
+// LeaseAcquired reports that this daemon acquired the steward's lease. The lease
 // runs from SentAt, and Epoch identifies the term of this steward.
-type LeaseWon struct {
+type LeaseAcquired struct {
 	Lease  string
 	Epoch  uint64
 	SentAt time.Time
@@ -126,9 +126,9 @@
 // DomainWritten reports that a WriteDomain took effect.
 type DomainWritten struct{ StoredDomain }
 
-// DomainUncertain reports that a WriteDomain met another revision or received
-// no answer, so that it may or may not have taken effect.
-type DomainUncertain struct{ Name string }
+// DomainWriteUnconfirmed reports that a WriteDomain met another revision or
+// received no answer, so that it may or may not have taken effect.
+type DomainWriteUnconfirmed struct{ Name string }
 
 // VMsRead is the result of ReadVMs. VMs is nil if the read failed.
 type VMsRead struct{ VMs []fleet.VM }
@@ -136,23 +136,23 @@
 // OrderDone reports that an order was answered or abandoned.
 type OrderDone struct{ VM string }
 
-func (Tick) isEvent()             {}
-func (Leave) isEvent()            {}
-func (Probed) isEvent()           {}
-func (Answered) isEvent()         {}
-func (Pulled) isEvent()           {}
-func (PullFailed) isEvent()       {}
-func (DocsArrived) isEvent()      {}
-func (ConfigArrived) isEvent()    {}
-func (Asked) isEvent()            {}
-func (Revoked) isEvent()          {}
-func (SightingsArrived) isEvent() {}
-func (LeaseWon) isEvent()         {}
-func (LeaseRenewed) isEvent()     {}
-func (LeaseFailed) isEvent()      {}
-func (LeaseLost) isEvent()        {}
-func (DomainsRead) isEvent()      {}
-func (DomainWritten) isEvent()    {}
-func (DomainUncertain) isEvent()  {}
-func (VMsRead) isEvent()          {}
-func (OrderDone) isEvent()        {}
+func (Tick) isEvent()                   {}
+func (Leave) isEvent()                  {}
+func (Probed) isEvent()                 {}
+func (ResponseStarted) isEvent()        {}
+func (Pulled) isEvent()                 {}
+func (PullFailed) isEvent()             {}
+func (DocsArrived) isEvent()            {}
+func (ConfigArrived) isEvent()          {}
+func (PullReceived) isEvent()           {}
+func (Revoked) isEvent()                {}
+func (ObservationsArrived) isEvent()    {}
+func (LeaseAcquired) isEvent()          {}
+func (LeaseRenewed) isEvent()           {}
+func (LeaseFailed) isEvent()            {}
+func (LeaseLost) isEvent()              {}
+func (DomainsRead) isEvent()            {}
+func (DomainWritten) isEvent()          {}
+func (DomainWriteUnconfirmed) isEvent() {}
+func (VMsRead) isEvent()                {}
+func (OrderDone) isEvent()              {}
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -205,7 +205,7 @@
 // pullReceived pulls back from a daemon that is unknown or whose document is
 // out of date here. Documents flow only toward the daemon that pulls: without
 // the pull back, a daemon unknown to all others would never be discovered.
-func (co *Core) pullReceived(ev Asked) {
+func (co *Core) pullReceived(ev PullReceived) {
 	known := co.docs.Get(gossip.DaemonPrefix + co.daemonByPeer(ev.Peer)).Revision
 	if known < ev.Revision && ev.Peer != co.set.Peer {
 		co.emitOnce(keyPull+ev.Peer, Pull{Peer: ev.Peer, Revision: co.SelfRevision()})
@@ -229,7 +229,7 @@
 		co.emitOnce(keyDocs+ev.Peer, FetchDocs{Peer: ev.Peer, Have: co.docs.Revisions()})
 	}
 	if ev.Answer.ConfigRevision > co.cfg.Revision || (!co.cfgKnown && ev.Answer.ConfigRevision > 0) {
-		co.emitOnce(FlyPeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
+		co.emitOnce(SourcePeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
 	}
 }
 
@@ -311,15 +311,15 @@
 }
 
 // applyDaemon applies the document of a daemon. It ignores an unknown daemon
-// that has been dead for longer than gossip.Forget, and refutes a document that
-// gives a wrong state for this daemon.
+// that has been dead for longer than gossip.DeadRetention, and refutes a
+// document that gives a wrong state for this daemon.
 func (co *Core) applyDaemon(do gossip.Doc) {
 	var dm gossip.Daemon
 	if json.Unmarshal(do.Value, &dm) != nil {
 		return
 	}
 	_, known := co.daemons[dm.Name]
-	if !known && dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.Forget {
+	if !known && dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.DeadRetention {
 		return
 	}
 	if !co.docs.Put(do) {
@@ -334,10 +334,11 @@
 	co.assignProbes()
 }
 
-// expireDead removes daemons that have been dead for longer than gossip.Forget.
+// expireDead removes daemons that have been dead for longer than
+// gossip.DeadRetention.
 func (co *Core) expireDead() {
 	for name, dm := range co.daemons {
-		if dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.Forget {
+		if dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.DeadRetention {
 			delete(co.daemons, name)
 			co.docs.Drop(gossip.DaemonPrefix + name)
 		}
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -79,7 +79,7 @@
 			co.groupByHash[groupHash(gr)] = gr.ID
 		}
 	}
-	co.permits.Forget(func(group string) bool { _, ok := co.groups[group]; return ok })
+	co.permits.Retain(func(group string) bool { _, ok := co.groups[group]; return ok })
 	maps.DeleteFunc(co.rings, func(group string, _ []string) bool { _, ok := co.groups[group]; return !ok })
 	co.assignProbes()
 }
@@ -242,7 +242,7 @@
 func (co *Core) updatePermit(gr fleet.Group, ev Probed) {
 	if co.disproves(gr, ev) {
 		if co.permits.Revoke(gr.ID, co.now) {
-			co.emit(Announce{Group: gr.ID, Fence: gr.Fence, Peers: co.regionPeers()})
+			co.emit(BroadcastRevocation{Group: gr.ID, Fence: gr.Fence, Peers: co.regionPeers()})
 		}
 		return
 	}
@@ -320,7 +320,7 @@
 }
 
 // responseStarted uses the first token of a response as evidence.
-func (co *Core) responseStarted(ev Answered) {
+func (co *Core) responseStarted(ev ResponseStarted) {
 	gr, ok := co.groups[ev.Group]
 	if !ok || gr.Fence != ev.Fence {
 		return
@@ -330,47 +330,47 @@
 	co.permits.Add(permit.Evidence{Group: gr.ID, Fence: ev.Fence, Leader: ev.Leader, At: ev.SentAt, Load: pe.Load})
 }
 
-// SightingsAnswer is the answer to PullSightings: the observations that have
-// changed since the last pull.
-type SightingsAnswer struct {
+// ObservationsAnswer is the answer to PullObservations: the observations that
+// have changed since the last pull.
+type ObservationsAnswer struct {
 	// Boot identifies the run of the answering daemon.
 	Boot int64 `cbor:"1,keyasint"`
 	// Change is the change number from which the next pull continues.
-	Change uint64         `cbor:"2,keyasint"`
-	VMs    []SightingAged `cbor:"3,keyasint,omitempty"`
-	// Whole is set if VMs holds all observations and not only the changed ones.
-	Whole bool `cbor:"4,keyasint,omitempty"`
+	Change uint64            `cbor:"2,keyasint"`
+	VMs    []AgedObservation `cbor:"3,keyasint,omitempty"`
+	// Full is set if VMs holds all observations and not only the changed ones.
+	Full bool `cbor:"4,keyasint,omitempty"`
 	// Dropped holds the names of VMs that the daemon no longer probes.
 	Dropped []string `cbor:"5,keyasint,omitempty"`
 }
 
-// SightingAged is an observation with ages in place of times, because clocks
+// AgedObservation is an observation with ages in place of times, because clocks
 // differ between daemons.
-type SightingAged struct {
+type AgedObservation struct {
 	VM     string       `cbor:"1,keyasint"`
 	Report fleet.Report `cbor:"2,keyasint"`
-	// SeenAgeMS is the age of the report in milliseconds, or -1 if there is
+	// ReportAgeMS is the age of the report in milliseconds, or -1 if there is
 	// none.
-	SeenAgeMS int64 `cbor:"3,keyasint"`
+	ReportAgeMS int64 `cbor:"3,keyasint"`
 	// FailingAgeMS is how long probes have been failing, in milliseconds, or -1
 	// if the last one succeeded.
 	FailingAgeMS int64 `cbor:"4,keyasint"`
 }
 
-// SightingsAt returns the observations changed after change number since, or
+// ObservationsAt returns the observations changed after change number since, or
 // all of them if since is 0, for a pull that arrives at now.
-func (co *Core) SightingsAt(now time.Time, since uint64) SightingsAnswer {
+func (co *Core) ObservationsAt(now time.Time, since uint64) ObservationsAnswer {
 	co.now = now
-	an := SightingsAnswer{Boot: co.started.UnixNano(), Change: co.changeSeq, Whole: since == 0}
+	an := ObservationsAnswer{Boot: co.started.UnixNano(), Change: co.changeSeq, Full: since == 0}
 	for _, vm := range sortedKeys(co.observations) {
 		si := co.observations[vm]
 		if si.changeSeq > since {
-			an.VMs = append(an.VMs, SightingAged{VM: vm, Report: si.Report,
-				SeenAgeMS: co.ageMS(si.At), FailingAgeMS: co.ageMS(si.FailingSince)})
+			an.VMs = append(an.VMs, AgedObservation{VM: vm, Report: si.Report,
+				ReportAgeMS: co.ageMS(si.At), FailingAgeMS: co.ageMS(si.FailingSince)})
 		}
 	}
 	for _, vm := range sortedKeys(co.droppedAt) {
-		if co.droppedAt[vm] > since && !an.Whole {
+		if co.droppedAt[vm] > since && !an.Full {
 			an.Dropped = append(an.Dropped, vm)
 		}
 	}
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -19,7 +19,7 @@
 
 // proberState holds the observations received from one daemon.
 type proberState struct {
-	// boot and change are SightingsAnswer.Boot and Change of the last answer,
+	// boot and change are ObservationsAnswer.Boot and Change of the last answer,
 	// at is when its pull was sent, and vms holds the observations by VM name.
 	boot   int64
 	change uint64
@@ -33,10 +33,10 @@
 	}
 	for _, dm := range co.localDaemons() {
 		if dm.Name == co.set.Name {
-			co.applyObservations(dm.Name, co.now, co.SightingsAt(co.now, co.proberStateOf(dm.Name).change))
+			co.applyObservations(dm.Name, co.now, co.ObservationsAt(co.now, co.proberStateOf(dm.Name).change))
 			continue
 		}
-		co.emitOnce(keyObservations+dm.Name, PullSightings{Daemon: dm.Name, Peer: dm.Peer, Since: co.proberStateOf(dm.Name).change})
+		co.emitOnce(keyObservations+dm.Name, PullObservations{Daemon: dm.Name, Peer: dm.Peer, Since: co.proberStateOf(dm.Name).change})
 	}
 }
 
@@ -49,7 +49,7 @@
 	return so
 }
 
-func (co *Core) observationsArrived(ev SightingsArrived) {
+func (co *Core) observationsArrived(ev ObservationsArrived) {
 	delete(co.inFlight, keyObservations+ev.Daemon)
 	if ev.Answer != nil && co.steward.role != follower {
 		co.applyObservations(ev.Daemon, ev.SentAt, *ev.Answer)
@@ -57,13 +57,13 @@
 }
 
 // applyObservations merges a daemon's answer into its proberState.
-func (co *Core) applyObservations(daemon string, sentAt time.Time, an SightingsAnswer) {
+func (co *Core) applyObservations(daemon string, sentAt time.Time, an ObservationsAnswer) {
 	so := co.proberStateOf(daemon)
 	restarted := an.Boot != so.boot
-	if restarted || an.Whole {
+	if restarted || an.Full {
 		*so = proberState{boot: an.Boot, vms: make(map[string]fleet.Sighting)}
 	}
-	if restarted && !an.Whole {
+	if restarted && !an.Full {
 		// The change numbers belong to an earlier run of the daemon. Start
 		// over: the next pull requests all observations.
 		return
@@ -74,7 +74,7 @@
 		delete(so.vms, vm)
 	}
 	for _, sa := range an.VMs {
-		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: timeFromAge(sentAt, sa.SeenAgeMS), FailingSince: timeFromAge(sentAt, sa.FailingAgeMS)}
+		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: timeFromAge(sentAt, sa.ReportAgeMS), FailingSince: timeFromAge(sentAt, sa.FailingAgeMS)}
 	}
 }
 
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -125,7 +125,7 @@
 		return
 	}
 	if st.role == leaseHolder {
-		co.emit(DropLease{Lease: st.lease})
+		co.emit(ReleaseLease{Lease: st.lease})
 	}
 	announced := st.announced
 	*st = newSteward()
@@ -202,7 +202,7 @@
 	delete(co.inFlight, keyLease)
 	st := &co.steward
 	switch ev := ev.(type) {
-	case LeaseWon:
+	case LeaseAcquired:
 		co.becomeSteward(ev)
 	case LeaseRenewed:
 		st.actUntil = ev.SentAt.Add(co.set.Timing.Lease)
@@ -232,9 +232,9 @@
 
 // becomeSteward starts the stewardship, or releases the lease if this daemon is
 // leaving.
-func (co *Core) becomeSteward(ev LeaseWon) {
+func (co *Core) becomeSteward(ev LeaseAcquired) {
 	if co.state != gossip.Serving {
-		co.emit(DropLease{Lease: ev.Lease})
+		co.emit(ReleaseLease{Lease: ev.Lease})
 		return
 	}
 	st := newSteward()
@@ -249,7 +249,7 @@
 	co.publish(co.stewardDocName(), ev.Epoch<<revisionBits, stewardDoc{Name: co.set.Name, Epoch: ev.Epoch})
 	co.emitOnce(keyDomains, ReadDomains{})
 	co.emitOnce(keyVMs, ReadVMs{})
-	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
+	co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
 // stewardReads emits the reads that the steward repeats: of the domains until
@@ -261,7 +261,7 @@
 	if co.due("read-vms", co.set.Timing.List) {
 		co.emitOnce(keyVMs, ReadVMs{})
 	}
-	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
+	co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
 // vmsRead applies and publishes the platform's VM list if it has changed.
@@ -298,7 +298,7 @@
 		if st.role != follower {
 			co.adoptDomain(ev.StoredDomain)
 		}
-	case DomainUncertain:
+	case DomainWriteUnconfirmed:
 		// The write may have taken effect although its answer was lost. Only
 		// reading the key shows whether it did.
 		delete(co.inFlight, keyWrite+ev.Name)
@@ -462,7 +462,7 @@
 	Epoch   uint64        `json:"epoch"`
 	Mine    bool          `json:"mine"`
 	Acting  bool          `json:"acting"`
-	Account fleet.Account `json:"account"`
+	Stats   fleet.Account `json:"account"`
 }
 
 // Steward returns the status of the stewardship as of the last event.
@@ -473,7 +473,7 @@
 		Epoch:   st.announced.Epoch,
 		Mine:    st.role != follower,
 		Acting:  st.role == leaseHolder && co.now.Before(st.actUntil),
-		Account: st.stats,
+		Stats:   st.stats,
 	}
 }
 
--- a/internal/core/control/view.go
+++ b/internal/core/control/view.go
@@ -31,8 +31,8 @@
 	Group   fleet.Group
 	Permit  permit.Permit
 	Address string
-	// Near reports whether the group is in this daemon's data centre.
-	Near bool
+	// Local reports whether the group is in this daemon's data centre.
+	Local bool
 }
 
 // View returns a snapshot of the state as of the last event. It leaves out
@@ -60,7 +60,7 @@
 				continue
 			}
 			vi.index[gr.ID] = len(vi.Groups)
-			vi.Groups = append(vi.Groups, Target{Group: gr, Permit: pe, Address: leader.Address, Near: dom.DataCenter == co.set.DataCenter})
+			vi.Groups = append(vi.Groups, Target{Group: gr, Permit: pe, Address: leader.Address, Local: dom.DataCenter == co.set.DataCenter})
 		}
 	}
 	return vi
--- a/internal/core/gossip/daemon.go
+++ b/internal/core/gossip/daemon.go
@@ -21,9 +21,9 @@
 	Dead State = "dead"
 )
 
-// Forget is how long the document of a dead daemon is retained. Removing it
-// earlier would let a peer with an older revision bring the daemon back.
-const Forget = 10 * time.Minute
+// DeadRetention is how long the document of a dead daemon is retained. Removing
+// it earlier would let a peer with an older revision bring the daemon back.
+const DeadRetention = 10 * time.Minute
 
 // Daemon describes a daemon to its peers. The document is written by the daemon
 // itself or by a peer that declares it dead. A daemon wrongly declared dead
--- a/internal/core/permit/permit.go
+++ b/internal/core/permit/permit.go
@@ -84,9 +84,9 @@
 	return true
 }
 
-// Forget removes the evidence and revocations of all groups for which keep
-// returns false.
-func (tb *Table) Forget(keep func(group string) bool) {
+// Retain keeps the evidence and revocations of only those groups for which keep
+// returns true.
+func (tb *Table) Retain(keep func(group string) bool) {
 	for group := range tb.newest {
 		if !keep(group) {
 			delete(tb.newest, group)
