--- a/cmd/bench/claims.go
+++ b/cmd/bench/claims.go
@@ -28,7 +28,7 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * time.Second / time.Duration(rate))
 				ck := claim.NewKey("w", fmt.Sprint(rate, "/", i))
-				op := claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: "h", Print: "p"}
+				op := claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: "h", Fingerprint: "p"}
 				asked := time.Now()
 				bo.Do(context.Background(), op)
 				mu.Lock()
--- a/cmd/bench/fleet.go
+++ b/cmd/bench/fleet.go
@@ -201,16 +201,16 @@
 }
 
 func (re *replay) input() fleet.Input {
-	in := fleet.Input{Now: re.now, DataCenter: "dc", Config: re.cfg, Domains: re.doms, Seen: make(map[string]fleet.Sighting, len(re.vms)),
-		Ordered: re.order, ServingSince: re.whole, Epoch: 1, LoadBudget: int(re.budget), DrainAfter: 3 * time.Second, Policy: re.policy}
+	in := fleet.Input{Now: re.now, DataCenter: "dc", Config: re.cfg, Domains: re.doms, Observed: make(map[string]fleet.Observation, len(re.vms)),
+		LastOrder: re.order, ServingSince: re.whole, Epoch: 1, LoadBudget: int(re.budget), DrainAfter: 3 * time.Second, Policy: re.policy}
 	for _, name := range re.names {
 		ma := re.vms[name]
 		in.VMs = append(in.VMs, ma.vm)
-		si := fleet.Sighting{Report: ma.report, At: re.now}
+		si := fleet.Observation{Report: ma.report, At: re.now}
 		if !ma.downUntil.IsZero() {
 			si.FailingSince = ma.downSince.Add(probeLag)
 		}
-		in.Seen[name] = si
+		in.Observed[name] = si
 	}
 	return in
 }
@@ -256,16 +256,16 @@
 	case fleet.Join:
 		re.join(ma, or)
 	case fleet.Prepare:
-		ma.report.Turn = or.Turn
+		ma.report.Generation = or.Generation
 		re.load(ma, or.Model, or.Version, false)
 	case fleet.Release:
-		ma.report.Group, ma.report.Ring, ma.report.Ready, ma.report.Turn = "", nil, false, or.Turn
+		ma.report.Group, ma.report.Ring, ma.report.Ready, ma.report.Generation = "", nil, false, or.Generation
 	}
 }
 
 func (re *replay) join(ma *machine, jo fleet.Join) {
 	rp := &ma.report
-	rp.Group, rp.Fence, rp.Turn, rp.Ring = jo.Group.ID, jo.Group.Fence, jo.Turn, nil
+	rp.Group, rp.Fence, rp.Generation, rp.Ring = jo.Group.ID, jo.Group.Fence, jo.Generation, nil
 	for _, me := range jo.Ring {
 		rp.Ring = append(rp.Ring, me.VM)
 	}
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -32,7 +32,7 @@
 	}
 	ck := claim.NewKey(ex.workspace.Name, key)
 	op := claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: uuid.NewString(),
-		Print: claim.Fingerprint(ex.req.Method, ex.req.URL.Path, ex.body)}
+		Fingerprint: claim.Fingerprint(ex.req.Method, ex.req.URL.Path, ex.body)}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	res := se.Claims.Do(ctx, op)
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -252,7 +252,7 @@
 func (qu *Queue) Size() int { return qu.size }
 
 // Open returns the tokens of admitted requests that have not ended.
-func (qu *Queue) Open() int64 { return qu.open }
+func (qu *Queue) InFlight() int64 { return qu.open }
 
 // Capacity returns the capacity in tokens.
 func (qu *Queue) Capacity() int64 { return qu.capacity }
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -146,7 +146,7 @@
 	if !qu.Cancel("a", 2) || qu.Cancel("a", 2) {
 		t.Error("cancel must find a waiting request once")
 	}
-	if items := qu.Finish(begin, 10); len(items) != 0 || qu.Open() != 0 {
+	if items := qu.Finish(begin, 10); len(items) != 0 || qu.InFlight() != 0 {
 		t.Errorf("a cancelled request was admitted: %v", items)
 	}
 }
--- a/internal/core/backpressure/register.go
+++ b/internal/core/backpressure/register.go
@@ -58,7 +58,7 @@
 
 // SetRest takes in that the endpoint turned a request away and wants none of this daemon for
 // that long.
-func (re *Register) SetRest(li catalog.Life, rest time.Duration, now time.Time) {
+func (re *Register) SetRetryAfter(li catalog.Instance, rest time.Duration, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.life(li)
@@ -74,7 +74,7 @@
 
 // SetRefused takes in that the endpoint turned a request away that was sent then, without asking
 // for rest. Refusals to requests that were sent while it was left out count once.
-func (re *Register) SetRefused(li catalog.Life, sent, now time.Time) {
+func (re *Register) SetRefused(li catalog.Instance, sent, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if ep := re.life(li); ep != nil && !sent.Before(ep.restUntil) {
@@ -83,7 +83,7 @@
 }
 
 // SetTaken takes in that the endpoint took a request that was sent then.
-func (re *Register) SetTaken(li catalog.Life, sent, now time.Time) {
+func (re *Register) SetAccepted(li catalog.Instance, sent, now time.Time) {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // SetLimit takes in the limit of an answer to a request that was sent then, and tells whether
 // it differs from what was known.
-func (re *Register) SetLimit(li catalog.Life, limit Limit, sent, now time.Time) bool {
+func (re *Register) SetLimit(li catalog.Instance, limit Limit, sent, now time.Time) bool {
 	if !limit.Named && re.num.Load() == 0 {
 		return false
 	}
@@ -141,7 +141,7 @@
 }
 
 // life returns what is known of a life of an endpoint, or nil if a later life is known.
-func (re *Register) life(li catalog.Life) *endpoint {
+func (re *Register) life(li catalog.Instance) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep != nil && ep.incarnation.Differs(li.Incarnation) {
 		if li.Incarnation < ep.incarnation {
@@ -166,7 +166,7 @@
 
 // find returns what is known of that life of an endpoint, or nil. What was said by a life whose
 // start wasn't known belongs to the first one that is.
-func (re *Register) find(li catalog.Life) *endpoint {
+func (re *Register) find(li catalog.Instance) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep == nil || ep.incarnation.Differs(li.Incarnation) {
 		return nil
@@ -178,7 +178,7 @@
 }
 
 // Takes tells whether the endpoint takes a request of this daemon now.
-func (re *Register) Takes(li catalog.Life, now time.Time) bool {
+func (re *Register) Accepts(li catalog.Instance, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return true
 	}
@@ -189,7 +189,7 @@
 }
 
 // Sent counts a request that is sent to the endpoint.
-func (re *Register) Sent(li catalog.Life, now time.Time) {
+func (re *Register) RecordSent(li catalog.Instance, now time.Time) {
 	if re == nil || re.num.Load() == 0 {
 		return
 	}
@@ -202,7 +202,7 @@
 
 // Opens returns after what time the endpoint takes a request of this daemon: 0 if it does now.
 // The second value is false if that isn't known.
-func (re *Register) Opens(li catalog.Life, now time.Time) (time.Duration, bool) {
+func (re *Register) WaitTime(li catalog.Instance, now time.Time) (time.Duration, bool) {
 	if re == nil || re.num.Load() == 0 {
 		return 0, true
 	}
@@ -217,7 +217,7 @@
 
 // SetLeaving takes in that the endpoint said then that it stops soon, and tells whether that is
 // new. It can't be taken back but by another incarnation.
-func (re *Register) SetLeaving(li catalog.Life, at time.Time) bool {
+func (re *Register) SetLeaving(li catalog.Instance, at time.Time) bool {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.life(li)
@@ -235,7 +235,7 @@
 }
 
 // Leaving tells whether the endpoint has said that it stops soon.
-func (re *Register) Leaving(li catalog.Life) bool {
+func (re *Register) Leaving(li catalog.Instance) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
 	}
@@ -246,7 +246,7 @@
 }
 
 // Resting returns the number of endpoints that want no request of this daemon.
-func (re *Register) Resting(now time.Time) int {
+func (re *Register) NumBackingOff(now time.Time) int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
@@ -259,7 +259,7 @@
 }
 
 // Restricted tells whether few daemons or none send to the endpoint now.
-func (re *Register) Restricted(li catalog.Life, now time.Time) bool {
+func (re *Register) Restricted(li catalog.Instance, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
 	}
--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 func TestRoute(t *testing.T) {
 	co := &Config{Routes: []Route{{Name: "root", Host: "Some.example", Prefix: "/"}, {Name: "a", Host: "some.example", Prefix: "/a/"},
 		{Name: "ab", Host: "some.example", Prefix: "/a/b/"}, {Name: "other", Host: "other.example", Prefix: "/a/"}}}
-	co.Prepare()
+	co.BuildIndexes()
 	tests := []struct{ host, path, want string }{
 		{"some.example", "/a/x", "a"},
 		{"some.example", "/a/b/c/d", "ab"},
@@ -90,7 +90,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			eps, cfg := foldFixture()
 			tc.change(eps)
-			vi := Fold(eps, cfg, nil, 7)
+			vi := ViewFromEntries(eps, cfg, nil, 7)
 			if len(vi.Groups) != tc.groups {
 				t.Errorf("%d groups, want %d", len(vi.Groups), tc.groups)
 			}
@@ -106,13 +106,13 @@
 // it does not.
 func TestFoldKeepsGroups(t *testing.T) {
 	eps, cfg := foldFixture()
-	before := Fold(eps, cfg, nil, 7)
+	before := ViewFromEntries(eps, cfg, nil, 7)
 	delete(eps, "second")
-	if after := Fold(eps, cfg, before, 8); !cmp.Equal(after.Groups, before.Groups) {
+	if after := ViewFromEntries(eps, cfg, before, 8); !cmp.Equal(after.Groups, before.Groups) {
 		t.Errorf("groups changed: %s", cmp.Diff(before.Groups, after.Groups))
 	}
 	delete(eps, "head")
-	if after := Fold(eps, cfg, before, 9); len(after.Groups) != 0 {
+	if after := ViewFromEntries(eps, cfg, before, 9); len(after.Groups) != 0 {
 		t.Errorf("a group without its head stays: %v", after.Groups)
 	}
 }
@@ -140,7 +140,7 @@
 	for i := range 500 {
 		co.Routes = append(co.Routes, Route{Host: "some.example", Prefix: fmt.Sprintf("/route%d/", i), Timeout: time.Second})
 	}
-	co.Prepare()
+	co.BuildIndexes()
 	for b.Loop() {
 		if co.Route("some.example", "/route250/a/b") == nil {
 			b.Fatal("no route")
--- a/internal/core/catalog/config.go
+++ b/internal/core/catalog/config.go
@@ -106,9 +106,9 @@
 	// StepPerKContext is added for each 1,000 tokens of a writer's context.
 	StepPerKContext time.Duration
 	// ReadPerSecond is the number of prompt tokens read in a second.
-	ReadPerSecond float64
+	PrefillPerSecond float64
 	// PairsPerM is the time for each million pairs of a token and an earlier one.
-	PairsPerM time.Duration
+	TimePerMillionPairs time.Duration
 	// Chunk is the most prompt tokens read in one step.
 	Chunk int
 	// ReportLag is how old reported figures may be.
@@ -118,7 +118,7 @@
 	// LoadsAtOnce is how many loads run at full speed.
 	LoadsAtOnce int
 	// Form is how long a group takes from the order to open until it serves.
-	Form time.Duration
+	FormTime time.Duration
 	// MeanPrompt and MeanAnswer are the usual token counts of a request.
 	MeanPrompt, MeanAnswer float64
 	// Delays are the one-way delays between data centres.
--- a/internal/core/catalog/demand.go
+++ b/internal/core/catalog/demand.go
@@ -24,11 +24,11 @@
 	// A request holds its prompt all the time, and half of its answer on average.
 	context := (prompt + answer/2) / requests
 	reading := 0.0
-	if en.ReadPerSecond > 0 {
-		reading = prompt / en.ReadPerSecond
+	if en.PrefillPerSecond > 0 {
+		reading = prompt / en.PrefillPerSecond
 	}
 	pairs := prompt * prompt / requests / 2
-	reading += pairs / 1e6 * en.PairsPerM.Seconds()
+	reading += pairs / 1e6 * en.TimePerMillionPairs.Seconds()
 	perToken := en.StepPerRequest.Seconds() + context/1000*en.StepPerKContext.Seconds()
 	perToken += en.Step.Seconds() / max(1, en.roomFor(context))
 	return mo.TimeFactor() * (reading + answer*perToken)
--- a/internal/core/catalog/demand_test.go
+++ b/internal/core/catalog/demand_test.go
@@ -10,7 +10,7 @@
 // demand is compared with an engine that works in passes with all slots taken.
 func TestDemandGroups(t *testing.T) {
 	en := &Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, Step: 6450 * time.Microsecond, StepPerRequest: 97 * time.Microsecond,
-		StepPerKContext: 3 * time.Microsecond, ReadPerSecond: 56_100}
+		StepPerKContext: 3 * time.Microsecond, PrefillPerSecond: 56_100}
 	tests := []struct {
 		name           string
 		pace           float64
@@ -40,7 +40,7 @@
 	running := math.Min(float64(en.Slots), float64(en.KVTokens)/(prompt+answer/2))
 	step := en.Step.Seconds() + running*(en.StepPerRequest.Seconds()+(prompt+answer/2)/1000*en.StepPerKContext.Seconds())
 	ended := running * float64(en.Stride) / answer
-	pass := step*float64(en.Stride) + ended*prompt/en.ReadPerSecond
+	pass := step*float64(en.Stride) + ended*prompt/en.PrefillPerSecond
 	return ended / (pass * pace)
 }
 
@@ -54,7 +54,7 @@
 	}{
 		{"no requests", Engine{Slots: 10}, Demand{}},
 		{"no figures", Engine{}, Demand{Requests: 3, Prompt: 100, Answer: 10}},
-		{"no memory stated", Engine{Slots: 10, ReadPerSecond: 100}, Demand{Requests: 3}},
+		{"no memory stated", Engine{Slots: 10, PrefillPerSecond: 100}, Demand{Requests: 3}},
 	}
 	for _, tc := range tests {
 		if got := tc.de.Groups(&tc.en, Model{}); math.IsNaN(got) || math.IsInf(got, 0) || got < 0 {
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -37,7 +37,7 @@
 func (in Incarnation) Differs(from Incarnation) bool { return in != from && in != 0 && from != 0 }
 
 // Life is one life of a server process.
-type Life struct {
+type Instance struct {
 	ID          string      `json:"id" cbor:"1,keyasint"`
 	Incarnation Incarnation `json:"incarnation,omitempty" cbor:"2,keyasint,omitempty"`
 }
@@ -71,7 +71,7 @@
 }
 
 // Life returns the life that the endpoint is known in.
-func (ep *Endpoint) Life() Life { return Life{ep.ID, ep.Incarnation} }
+func (ep *Endpoint) Instance() Instance { return Instance{ep.ID, ep.Incarnation} }
 
 // HasStaged tells whether the model is on the endpoint's host.
 func (ep *Endpoint) HasStaged(model string) bool { return slices.Contains(ep.Staged, model) }
--- a/internal/core/catalog/fold.go
+++ b/internal/core/catalog/fold.go
@@ -8,7 +8,7 @@
 // Fold builds a view from the endpoints' entries alone, for a daemon that no
 // steward tells what to use. Entries lag, so a group of the previous view
 // stays while its head is registered and does not say otherwise.
-func Fold(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
+func ViewFromEntries(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
 	vi := &View{Revision: revision, Plain: PlainEndpoints(endpoints, cfg)}
 	if previous != nil {
 		for _, gr := range previous.Groups {
--- a/internal/core/catalog/routes.go
+++ b/internal/core/catalog/routes.go
@@ -7,7 +7,7 @@
 
 // Prepare builds the indexes of a decoded configuration. A lookup then costs a
 // map access for each slash of the path, however many routes there are.
-func (co *Config) Prepare() {
+func (co *Config) BuildIndexes() {
 	co.index = make(routeIndex)
 	for i := range co.Routes {
 		ro := &co.Routes[i]
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -29,7 +29,7 @@
 }
 
 // Life returns the life that the view speaks of.
-func (pe *PlainEndpoint) Life() Life { return Life{pe.ID, pe.Incarnation} }
+func (pe *PlainEndpoint) Instance() Instance { return Instance{pe.ID, pe.Incarnation} }
 
 // Group is a whole group whose head is open.
 type Group struct {
@@ -57,7 +57,7 @@
 }
 
 // Life returns the life in which the endpoint joined the group.
-func (me *Member) Life() Life { return Life{me.ID, me.Incarnation} }
+func (me *Member) Instance() Instance { return Instance{me.ID, me.Incarnation} }
 
 // Newer tells whether a view replaces another. Views are ordered by term and
 // sequence; one built from the store replaces an older one by its revision.
@@ -73,22 +73,22 @@
 
 // Lives returns the endpoints that requests are sent to by the view: those without
 // groups, and the groups' heads.
-func (vi *View) Lives() []Life {
-	var lives []Life
+func (vi *View) Instances() []Instance {
+	var lives []Instance
 	for i := range vi.Plain {
-		lives = append(lives, vi.Plain[i].Life())
+		lives = append(lives, vi.Plain[i].Instance())
 	}
 	for _, gr := range vi.Groups {
-		lives = append(lives, gr.Members[0].Life())
+		lives = append(lives, gr.Members[0].Instance())
 	}
 	return lives
 }
 
 // Without returns the view without the endpoints for which gone is true and
 // without the groups whose heads they are.
-func (vi *View) Without(gone func(li Life) bool) *View {
+func (vi *View) Without(gone func(li Instance) bool) *View {
 	left := *vi
-	left.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return gone(ep.Life()) })
-	left.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return gone(gr.Members[0].Life()) })
+	left.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return gone(ep.Instance()) })
+	left.Groups = slices.DeleteFunc(slices.Clone(vi.Groups), func(gr Group) bool { return gone(gr.Members[0].Instance()) })
 	return &left
 }
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -67,9 +67,9 @@
 	Holder string `json:"holder"`
 	// Print is the fingerprint of the request: the same key with another
 	// request is refused.
-	Print   string   `json:"print"`
-	State   State    `json:"state"`
-	Outcome *Outcome `json:"outcome,omitempty"`
+	Fingerprint string   `json:"print"`
+	State       State    `json:"state"`
+	Outcome     *Outcome `json:"outcome,omitempty"`
 }
 
 // Slice is the value of one page.
@@ -123,12 +123,12 @@
 
 // Op is one operation on a claim.
 type Op struct {
-	Kind    Kind     `cbor:"1,keyasint"`
-	Shard   int      `cbor:"2,keyasint"`
-	Hash    string   `cbor:"3,keyasint"`
-	Holder  string   `cbor:"4,keyasint"`
-	Print   string   `cbor:"5,keyasint,omitempty"`
-	Outcome *Outcome `cbor:"6,keyasint,omitempty"`
+	Kind        Kind     `cbor:"1,keyasint"`
+	Shard       int      `cbor:"2,keyasint"`
+	Hash        string   `cbor:"3,keyasint"`
+	Holder      string   `cbor:"4,keyasint"`
+	Fingerprint string   `cbor:"5,keyasint,omitempty"`
+	Outcome     *Outcome `cbor:"6,keyasint,omitempty"`
 }
 
 // Answer is what an operation came to.
@@ -147,7 +147,7 @@
 	// Applied: the release or record is stored.
 	Applied
 	// Gone: there is no such claim to release or record.
-	Gone
+	NotFound
 	// Unavailable: the operation is not stored, or not known to be.
 	Unavailable
 )
@@ -164,7 +164,7 @@
 	switch {
 	case !ok:
 		return Result{}, false
-	case cl.Print != op.Print:
+	case cl.Fingerprint != op.Fingerprint:
 		return Result{Answer: Mismatch}, true
 	case cl.State == Done:
 		return Result{Answer: Finished, Outcome: cl.Outcome}, true
@@ -200,14 +200,14 @@
 	case Release:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: Gone}, false
+			return Result{Answer: NotFound}, false
 		}
 		delete(sl.Claims, op.Hash)
 		return Result{Answer: Applied}, true
 	case Record:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: Gone}, false
+			return Result{Answer: NotFound}, false
 		}
 		cl.State = Done
 		cl.Outcome = op.Outcome
@@ -224,7 +224,7 @@
 	if sl.Sealed {
 		return Result{}, false
 	}
-	sl.Claims[op.Hash] = Claim{Holder: op.Holder, Print: op.Print, State: Claimed}
+	sl.Claims[op.Hash] = Claim{Holder: op.Holder, Fingerprint: op.Fingerprint, State: Claimed}
 	return Result{Answer: Granted}, true
 }
 
--- a/internal/core/control/check_test.go
+++ b/internal/core/control/check_test.go
@@ -19,7 +19,7 @@
 		}
 		for _, dom := range no.core.Domains() {
 			for _, gr := range dom.Groups {
-				if _, ok := gr.Whole(w.actualReport); ok {
+				if _, ok := gr.ServingRing(w.actualReport); ok {
 					w.lastComplete[groupKey(gr)] = w.clock.Now()
 				}
 			}
--- a/internal/core/control/engine_test.go
+++ b/internal/core/control/engine_test.go
@@ -70,13 +70,13 @@
 func (w *simulation) applyOrder(en *engine, or fleet.Order) {
 	switch or := or.(type) {
 	case fleet.Join:
-		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Group.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Group.Fence, or.Generation) {
 			return
 		}
 		en.orderCount++
 		en.loadSeq++
 		re := &en.report
-		re.Group, re.Fence, re.Turn, re.Role, re.Adapters = or.Group.ID, or.Group.Fence, or.Turn, or.Group.Role, or.Group.Adapters
+		re.Group, re.Fence, re.Generation, re.Role, re.Adapters = or.Group.ID, or.Group.Fence, or.Generation, or.Group.Role, or.Group.Adapters
 		re.Ring = nil
 		for _, me := range or.Ring {
 			re.Ring = append(re.Ring, me.VM)
@@ -94,12 +94,12 @@
 			}
 		})
 	case fleet.Prepare:
-		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Generation) {
 			return
 		}
 		en.loadSeq++
 		re, loadSeq := &en.report, en.loadSeq
-		re.Fence, re.Turn = or.Fence, or.Turn
+		re.Fence, re.Generation = or.Fence, or.Generation
 		w.after(en.loadTime, func() {
 			if en.loadSeq == loadSeq && !en.down {
 				en.loadCount++
@@ -107,20 +107,20 @@
 			}
 		})
 	case fleet.Release:
-		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Turn) {
+		if or.Incarnation != en.incarnation || !en.ignoresFencing && staleOrder(en.report, or.Fence, or.Generation) {
 			return
 		}
 		en.orderCount++
 		en.loadSeq++
 		re := &en.report
-		re.Group, re.Fence, re.Turn, re.Ring, re.Ready = "", or.Fence, or.Turn, nil, false
+		re.Group, re.Fence, re.Generation, re.Ring, re.Ready = "", or.Fence, or.Generation, nil, false
 	}
 }
 
 // staleOrder reports whether an order with this fencing token and generation is
 // older than the last one that the engine applied.
 func staleOrder(re fleet.Report, fence, generation uint64) bool {
-	return fence < re.Fence || fence == re.Fence && generation < re.Turn
+	return fence < re.Fence || fence == re.Fence && generation < re.Generation
 }
 
 // actualReport returns the state of a VM's engine, as opposed to what the
--- a/internal/core/control/evidence_test.go
+++ b/internal/core/control/evidence_test.go
@@ -23,7 +23,7 @@
 	}
 	co.Step(begin, control.DocsArrived{Docs: []gossip.Doc{{Name: control.DomainKey("gent", "x"), Revision: 1, Value: raw}}})
 	answer := func(vm string, at time.Duration) {
-		re := fleet.Report{VM: vm, Incarnation: "1", Group: "g", Fence: 1, Turn: 1, Ring: []string{"a", "b"}, Model: "m", Version: "1", Ready: true}
+		re := fleet.Report{VM: vm, Incarnation: "1", Group: "g", Fence: 1, Generation: 1, Ring: []string{"a", "b"}, Model: "m", Version: "1", Ready: true}
 		co.Step(begin.Add(at+time.Millisecond), control.Probed{VM: vm, SentAt: begin.Add(at), Report: &re})
 	}
 	permitted := func() bool { _, ok := co.View().Find("g"); return ok }
--- a/internal/core/control/hold_test.go
+++ b/internal/core/control/hold_test.go
@@ -341,7 +341,7 @@
 			en.boot()
 			w.advance(5 * time.Second)
 			late := w.engines[former.Members[1].VM]
-			w.applyOrder(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: former, Ring: former.Members, Turn: 1})
+			w.applyOrder(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: former, Ring: former.Members, Generation: 1})
 			w.waitFor("engine follows the present assignment", repairLimit, func() bool { return late.report.Fence != former.Fence && w.allServe(2)() })
 		}},
 		// Writes of assignments take effect but their answers are lost.
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -13,7 +13,7 @@
 
 // observation is this daemon's own evidence about one VM.
 type observation struct {
-	fleet.Sighting
+	fleet.Observation
 	// changeSeq is the value of Core.changeSeq when the observation last
 	// changed.
 	changeSeq uint64
@@ -225,7 +225,7 @@
 }
 
 func (co *Core) probeAnswered(si *observation, ev Probed) {
-	if si.At.IsZero() || !si.FailingSince.IsZero() || !si.Report.Same(*ev.Report) {
+	if si.At.IsZero() || !si.FailingSince.IsZero() || !si.Report.EqualExceptTokens(*ev.Report) {
 		co.changeSeq++
 		si.changeSeq = co.changeSeq
 	}
@@ -246,7 +246,7 @@
 		}
 		return
 	}
-	ring, ok := gr.Whole(co.freshReport)
+	ring, ok := gr.ServingRing(co.freshReport)
 	if !ok {
 		return
 	}
@@ -280,7 +280,7 @@
 // the same generation, so comparing the two reports is enough.
 func sameMembership(re, next fleet.Report) bool {
 	re.Load, next.Load = fleet.Load{}, fleet.Load{}
-	return re.Same(next)
+	return re.EqualExceptTokens(next)
 }
 
 // revoked withdraws a permit on another daemon's evidence. It ignores evidence
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -24,7 +24,7 @@
 	boot   int64
 	change uint64
 	at     time.Time
-	vms    map[string]fleet.Sighting
+	vms    map[string]fleet.Observation
 }
 
 func (co *Core) pullObservations() {
@@ -43,7 +43,7 @@
 func (co *Core) proberStateOf(daemon string) *proberState {
 	so, ok := co.steward.probers[daemon]
 	if !ok {
-		so = &proberState{vms: make(map[string]fleet.Sighting)}
+		so = &proberState{vms: make(map[string]fleet.Observation)}
 		co.steward.probers[daemon] = so
 	}
 	return so
@@ -61,7 +61,7 @@
 	so := co.proberStateOf(daemon)
 	restarted := an.Boot != so.boot
 	if restarted || an.Full {
-		*so = proberState{boot: an.Boot, vms: make(map[string]fleet.Sighting)}
+		*so = proberState{boot: an.Boot, vms: make(map[string]fleet.Observation)}
 	}
 	if restarted && !an.Full {
 		// The change numbers belong to an earlier run of the daemon. Start
@@ -74,7 +74,7 @@
 		delete(so.vms, vm)
 	}
 	for _, sa := range an.VMs {
-		so.vms[sa.VM] = fleet.Sighting{Report: sa.Report, At: timeFromAge(sentAt, sa.ReportAgeMS), FailingSince: timeFromAge(sentAt, sa.FailingAgeMS)}
+		so.vms[sa.VM] = fleet.Observation{Report: sa.Report, At: timeFromAge(sentAt, sa.ReportAgeMS), FailingSince: timeFromAge(sentAt, sa.FailingAgeMS)}
 	}
 }
 
@@ -90,8 +90,8 @@
 // mergedObservations merges the observations of all probers. A VM counts as
 // failing only if all of its probers report it as failing: a single prober may
 // be cut off from a VM that works.
-func (co *Core) mergedObservations() map[string]fleet.Sighting {
-	seen := make(map[string]fleet.Sighting)
+func (co *Core) mergedObservations() map[string]fleet.Observation {
+	seen := make(map[string]fleet.Observation)
 	for _, name := range sortedKeys(co.steward.probers) {
 		so := co.steward.probers[name]
 		if co.now.Sub(so.at) > proberStateMaxAge {
@@ -110,7 +110,7 @@
 // preferred reports whether si takes precedence over other: a succeeding
 // observation over a failing one, then the later start of failure, then the
 // newer report.
-func preferred(si, other fleet.Sighting) bool {
+func preferred(si, other fleet.Observation) bool {
 	if si.FailingSince.IsZero() != other.FailingSince.IsZero() {
 		return si.FailingSince.IsZero()
 	}
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -76,7 +76,7 @@
 	// budgetAt.
 	loadBudget float64
 	budgetAt   time.Time
-	stats      fleet.Account
+	stats      fleet.Stats
 	// servingSince holds, by group ID, the time since which each group has been
 	// complete.
 	servingSince map[string]time.Time
@@ -347,8 +347,8 @@
 		Config:     co.cfg,
 		VMs:        st.vms,
 		Domains:    make(map[string]fleet.Domain, len(st.stored)),
-		Seen:       co.mergedObservations(),
-		Ordered:    st.lastOrder,
+		Observed:   co.mergedObservations(),
+		LastOrder:  st.lastOrder,
 		Epoch:      st.epoch,
 
 		ServingSince: st.servingSince,
@@ -458,11 +458,11 @@
 	// Steward is the announced steward and Epoch its epoch. Mine is set if this
 	// daemon has a role in the stewardship, and Acting if it holds a lease that
 	// has not expired.
-	Steward string        `json:"steward"`
-	Epoch   uint64        `json:"epoch"`
-	Mine    bool          `json:"mine"`
-	Acting  bool          `json:"acting"`
-	Stats   fleet.Account `json:"account"`
+	Steward string      `json:"steward"`
+	Epoch   uint64      `json:"epoch"`
+	Mine    bool        `json:"mine"`
+	Acting  bool        `json:"acting"`
+	Stats   fleet.Stats `json:"account"`
 }
 
 // Steward returns the status of the stewardship as of the last event.
--- a/internal/core/dispatch/closed_test.go
+++ b/internal/core/dispatch/closed_test.go
@@ -13,19 +13,19 @@
 // when to come again.
 func TestLimitedGroup(t *testing.T) {
 	now := time.Unix(100, 0)
-	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, ReadPerSecond: 50000, MeanAnswer: 100,
+	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
 		Models: []catalog.Model{{Name: "large", Size: 1, Pace: 1}}}
 	cfg := &catalog.Config{Services: map[string]catalog.Service{"engine": {Engine: en}}}
 	vi := &catalog.View{}
 	for _, name := range []string{"one", "other"} {
 		vi.Groups = append(vi.Groups, catalog.Group{Name: name, Service: "engine", Model: "large", Members: []catalog.Member{{ID: "head-" + name}}})
 	}
-	ne := Need{Service: "engine", Model: "large", Prompt: 100, Objective: time.Second, Pause: time.Second, Wait: time.Second}
+	ne := Request{Service: "engine", Model: "large", Prompt: 100, Objective: time.Second, MaxPause: time.Second, MaxWait: time.Second}
 	reg := &backpressure.Register{}
 	ta := &Table{Backpressure: reg}
 	ta.Update(vi, cfg, now)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Groups[0].Members[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Groups[0].Members[0].Instance(), limit, now, now)
 	for range 10 {
 		ch, ti := ta.Pick(ne, nil, now)
 		if ti == nil || ch.Group.Name != "other" {
@@ -33,12 +33,12 @@
 		}
 		ti.End()
 	}
-	reg.SetLimit(vi.Groups[1].Members[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Groups[1].Members[0].Instance(), limit, now, now)
 	ch, ti := ta.Pick(ne, nil, now)
-	if ti != nil || !ch.Closed || ch.Again <= 0 || ch.Again > 500*time.Millisecond {
+	if ti != nil || !ch.AllLimited || ch.RetryAfter <= 0 || ch.RetryAfter > 500*time.Millisecond {
 		t.Errorf("both limited: %+v", ch)
 	}
-	if ch, ti = ta.Pick(ne, nil, now.Add(ch.Again)); ti == nil {
+	if ch, ti = ta.Pick(ne, nil, now.Add(ch.RetryAfter)); ti == nil {
 		t.Errorf("not taken when it was told to come: %+v", ch)
 	}
 }
@@ -51,17 +51,17 @@
 	pl := &Plain{Backpressure: reg}
 	pl.Update(vi)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Plain[0].Life(), limit, now, now)
+	reg.SetLimit(vi.Plain[0].Instance(), limit, now, now)
 	for range 10 {
 		if ep := pl.Pick("desk", nil, now); ep == nil || ep.ID != "other" {
 			t.Fatalf("picked %+v", ep)
 		}
 	}
-	reg.SetLimit(vi.Plain[1].Life(), limit, now, now)
+	reg.SetLimit(vi.Plain[1].Instance(), limit, now, now)
 	if ep := pl.Pick("desk", nil, now); ep != nil {
 		t.Errorf("both limited: picked %s", ep.ID)
 	}
-	again := pl.Opens("desk", now)
+	again := pl.WaitTime("desk", now)
 	if again <= 0 || again > 500*time.Millisecond {
 		t.Errorf("to come again after %s", again)
 	}
--- a/internal/core/fleet/account.go
+++ b/internal/core/fleet/account.go
@@ -1,7 +1,7 @@
 package fleet
 
 // Account counts what the users measure at one moment.
-type Account struct {
+type Stats struct {
 	// Down is how many declared replicas do not serve, by declared group.
 	Down map[string]int
 	// Serving is how many replicas serve, by declared group.
@@ -15,9 +15,9 @@
 }
 
 // Count returns the account of a data center.
-func Count(in Input) Account {
+func Count(in Input) Stats {
 	pl := newPlanner(in)
-	ac := Account{Down: make(map[string]int), Serving: make(map[string]int)}
+	ac := Stats{Down: make(map[string]int), Serving: make(map[string]int)}
 	busy := 0
 	for _, lo := range pl.groups(pl.serving) {
 		ac.Serving[lo.group().Spec]++
--- a/internal/core/fleet/adjust.go
+++ b/internal/core/fleet/adjust.go
@@ -91,7 +91,7 @@
 }
 
 func (pl *planner) warm(vm VM, gr Group) bool {
-	re := pl.in.Seen[vm.Name].Report
+	re := pl.in.Observed[vm.Name].Report
 	return re.Model == gr.Model && re.Version == gr.Version
 }
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -58,7 +58,7 @@
 	Incarnation string `json:"incarnation"`
 	Group       string `json:"group,omitempty"`
 	Fence       uint64 `json:"fence,omitempty"`
-	Turn        uint64 `json:"turn,omitempty"`
+	Generation  uint64 `json:"turn,omitempty"`
 	// Ring names the VMs that serve together, the leader first.
 	Ring     []string    `json:"ring,omitempty"`
 	Model    string      `json:"model,omitempty"`
@@ -80,9 +80,9 @@
 }
 
 // Same tells whether two reports differ in nothing but load.
-func (re Report) Same(other Report) bool {
+func (re Report) EqualExceptTokens(other Report) bool {
 	return re.Incarnation == other.Incarnation && re.Group == other.Group && re.Fence == other.Fence &&
-		re.Turn == other.Turn && re.Model == other.Model && re.Version == other.Version &&
+		re.Generation == other.Generation && re.Model == other.Model && re.Version == other.Version &&
 		re.Ready == other.Ready && re.Leaving == other.Leaving && re.Load.Requests == other.Load.Requests &&
 		slices.Equal(re.Ring, other.Ring) && slices.Equal(re.Adapters, other.Adapters)
 }
@@ -109,7 +109,7 @@
 	Incarnation string
 	Group       Group
 	Ring        []Member
-	Turn        uint64
+	Generation  uint64
 	// Loads says that the VM has to fetch the weights first.
 	Loads bool
 }
@@ -119,7 +119,7 @@
 	VM          VM
 	Incarnation string
 	Fence       uint64
-	Turn        uint64
+	Generation  uint64
 }
 
 // Prepare makes a free VM load weights ahead, so that it can take a lost
@@ -128,7 +128,7 @@
 	VM          VM
 	Incarnation string
 	Fence       uint64
-	Turn        uint64
+	Generation  uint64
 	Model       string
 	Version     string
 }
@@ -203,7 +203,7 @@
 
 // Whole returns the ring of gr if report of every ring member, as found by
 // find, shows it serving in the same ring of gr's size.
-func (gr Group) Whole(find func(vm string) (Report, bool)) ([]string, bool) {
+func (gr Group) ServingRing(find func(vm string) (Report, bool)) ([]string, bool) {
 	for _, me := range gr.Members {
 		re, ok := find(me.VM)
 		if !ok || re.Group != gr.ID || len(re.Ring) != gr.Size || re.Ring[0] != me.VM {
--- a/internal/core/fleet/plan.go
+++ b/internal/core/fleet/plan.go
@@ -30,7 +30,7 @@
 )
 
 // Sighting is what is known of a VM from direct evidence.
-type Sighting struct {
+type Observation struct {
 	Report Report
 	// At is when the last answered probe was sent; zero if none was.
 	At time.Time
@@ -48,9 +48,9 @@
 	// Domains holds the written assignments by name.
 	Domains map[string]Domain
 	// Seen holds the sightings by VM.
-	Seen map[string]Sighting
+	Observed map[string]Observation
 	// Ordered tells when each VM was last sent an order.
-	Ordered map[string]time.Time
+	LastOrder map[string]time.Time
 	// ServingSince tells since when each group has been whole.
 	ServingSince map[string]time.Time
 	Epoch        uint64
@@ -150,7 +150,7 @@
 func (pl *planner) blind() bool {
 	failing := 0
 	for name := range pl.vms {
-		if !pl.in.Seen[name].FailingSince.IsZero() {
+		if !pl.in.Observed[name].FailingSince.IsZero() {
 			failing++
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 func (pl *planner) report(vm string) (Report, bool) {
-	si := pl.in.Seen[vm]
+	si := pl.in.Observed[vm]
 	if si.At.IsZero() || !si.FailingSince.IsZero() {
 		return Report{}, false
 	}
@@ -167,7 +167,7 @@
 
 // lost tells whether a member can no longer serve at its incarnation.
 func (pl *planner) lost(me Member) bool {
-	si, ok := pl.in.Seen[me.VM]
+	si, ok := pl.in.Observed[me.VM]
 	if !ok {
 		return false
 	}
@@ -178,7 +178,7 @@
 }
 
 func (pl *planner) leaving(vm string) bool {
-	return pl.vms[vm].Leaving || pl.in.Seen[vm].Report.Leaving
+	return pl.vms[vm].Leaving || pl.in.Observed[vm].Report.Leaving
 }
 
 // free tells whether a VM may be assigned: it answers, is in no group by the
@@ -202,7 +202,7 @@
 // member makes a free VM a member and takes it out of the free ones.
 func (pl *planner) member(vm VM, group string) Member {
 	pl.owner[vm.Name] = group
-	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Seen[vm.Name].Report.Incarnation}
+	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Observed[vm.Name].Report.Incarnation}
 }
 
 // alive returns the members that are not lost.
@@ -218,7 +218,7 @@
 
 // serving tells whether gr is whole by the sightings.
 func (pl *planner) serving(gr Group) bool {
-	_, ok := gr.Whole(pl.report)
+	_, ok := gr.ServingRing(pl.report)
 	return ok
 }
 
@@ -258,18 +258,18 @@
 	var newest Report
 	for _, me := range gr.Members {
 		re, ok := pl.report(me.VM)
-		if ok && re.Group == gr.ID && re.Fence == gr.Fence && re.Turn > newest.Turn {
+		if ok && re.Group == gr.ID && re.Fence == gr.Fence && re.Generation > newest.Generation {
 			newest = re
 		}
 	}
 	if ring, ok := pl.viable(gr, newest.Ring); ok {
-		return ring, newest.Turn, true
+		return ring, newest.Generation, true
 	}
 	alive := pl.alive(gr)
 	if len(alive) < gr.Size || !pl.idleLeavers(gr) {
 		return nil, 0, false
 	}
-	return alive[:gr.Size], max(newest.Turn+1, pl.in.Epoch<<turnBits), true
+	return alive[:gr.Size], max(newest.Generation+1, pl.in.Epoch<<turnBits), true
 }
 
 func (pl *planner) viable(gr Group, names []string) ([]Member, bool) {
@@ -306,7 +306,7 @@
 		names[i] = rm.VM
 	}
 	loads := re.Model != gr.Model || re.Version != gr.Version
-	follows := re.Group == gr.ID && re.Fence == gr.Fence && re.Turn == turn && slices.Equal(re.Ring, names) &&
+	follows := re.Group == gr.ID && re.Fence == gr.Fence && re.Generation == turn && slices.Equal(re.Ring, names) &&
 		slices.Equal(re.Adapters, gr.Adapters)
 	if follows && (!loads || pl.loading(gr, me.VM)) || !pl.due(me.VM) {
 		return
@@ -318,19 +318,19 @@
 		pl.in.LoadBudget--
 	}
 	target := VM{Name: me.VM, Address: me.Address, Domain: pl.vms[me.VM].Domain}
-	pl.out.Orders = append(pl.out.Orders, Join{VM: target, Incarnation: me.Incarnation, Group: gr, Ring: ring, Turn: turn, Loads: loads})
+	pl.out.Orders = append(pl.out.Orders, Join{VM: target, Incarnation: me.Incarnation, Group: gr, Ring: ring, Generation: turn, Loads: loads})
 }
 
 // loading tells whether a VM that follows its order may still be loading. It
 // is not ordered again meanwhile: some engines would start the load anew.
 func (pl *planner) loading(gr Group, vm string) bool {
-	at, ok := pl.in.Ordered[vm]
+	at, ok := pl.in.LastOrder[vm]
 	patience := loadPatience*time.Duration(pl.in.Config.Models[gr.Model].LoadTime) + minLoadPatience
 	return ok && pl.in.Now.Sub(at) < patience
 }
 
 func (pl *planner) due(vm string) bool {
-	at, ok := pl.in.Ordered[vm]
+	at, ok := pl.in.LastOrder[vm]
 	return !ok || pl.in.Now.Sub(at) >= OrderInterval
 }
 
@@ -348,7 +348,7 @@
 			continue
 		}
 		pl.out.Orders = append(pl.out.Orders, Release{VM: vm, Incarnation: re.Incarnation,
-			Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn+1, pl.in.Epoch<<turnBits)})
+			Fence: pl.in.Domains[vm.Domain].Sequence, Generation: max(re.Generation+1, pl.in.Epoch<<turnBits)})
 	}
 }
 
--- a/internal/core/fleet/repair.go
+++ b/internal/core/fleet/repair.go
@@ -174,13 +174,13 @@
 }
 
 func (pl *planner) prepare(vm VM, gr Group) {
-	re := pl.in.Seen[vm.Name].Report
+	re := pl.in.Observed[vm.Name].Report
 	if pl.warm(vm, gr) || pl.in.LoadBudget <= 0 || !pl.due(vm.Name) || pl.loading(gr, vm.Name) {
 		return
 	}
 	pl.in.LoadBudget--
 	pl.out.Orders = append(pl.out.Orders, Prepare{VM: vm, Incarnation: re.Incarnation,
-		Fence: pl.in.Domains[vm.Domain].Sequence, Turn: max(re.Turn, pl.in.Epoch<<turnBits), Model: gr.Model, Version: gr.Version})
+		Fence: pl.in.Domains[vm.Domain].Sequence, Generation: max(re.Generation, pl.in.Epoch<<turnBits), Model: gr.Model, Version: gr.Version})
 }
 
 // makeRoom drains a less important group of the same domain when its VMs can
@@ -249,7 +249,7 @@
 			continue
 		}
 		missing++
-		since := pl.in.Seen[me.VM].FailingSince
+		since := pl.in.Observed[me.VM].FailingSince
 		if since.IsZero() {
 			continue
 		}
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -54,7 +54,7 @@
 	}
 	for _, gr := range ex.given {
 		gr.unwanted = true
-		co.note(Event{What: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
+		co.note(Event{Kind: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
 		for _, id := range gr.members {
 			co.vms[id].wanted = ex.to.Name
 		}
@@ -208,7 +208,7 @@
 	for _, vm := range co.vmsOf(ex) {
 		longest = max(longest, co.joinTime(vm, ex.to.Name))
 	}
-	return longest + en.Form + exchangeRetire
+	return longest + en.FormTime + exchangeRetire
 }
 
 // exchangeRetire is how long a group usually takes to finish its requests.
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -18,7 +18,7 @@
 	wo := newWorldOf(t, seed, 3, 27, models)
 	en := wo.cfg.Services["engine"].Engine
 	en.Slots, en.Stride, en.Step, en.StepPerRequest = 48, 5, 6450*time.Microsecond, 97*time.Microsecond
-	en.ReadPerSecond, en.LoadsAtOnce, en.LoadsPerSecond = 56100, 20, 14
+	en.PrefillPerSecond, en.LoadsAtOnce, en.LoadsPerSecond = 56100, 20, 14
 	wo.settle(5 * time.Second)
 	return wo
 }
@@ -41,7 +41,7 @@
 		wo.core.SetDemand(demand, wo.now)
 		wo.step()
 		for _, ev := range wo.core.Events() {
-			if ev.What == "group-rebalanced" {
+			if ev.Kind == "group-rebalanced" {
 				num++
 			}
 		}
--- a/internal/endpoint/member.go
+++ b/internal/endpoint/member.go
@@ -125,16 +125,16 @@
 func orderBody(or fleet.Order) OrderBody {
 	switch or := or.(type) {
 	case fleet.Join:
-		body := OrderBody{Kind: KindJoin, Incarnation: or.Incarnation, Fence: or.Group.Fence, Turn: or.Turn,
+		body := OrderBody{Kind: KindJoin, Incarnation: or.Incarnation, Fence: or.Group.Fence, Turn: or.Generation,
 			Group: or.Group.ID, Model: or.Group.Model, Version: or.Group.Version, Role: or.Group.Role, Adapters: or.Group.Adapters}
 		for _, me := range or.Ring {
 			body.Ring = append(body.Ring, RingAddress{VM: me.VM, Address: me.Address})
 		}
 		return body
 	case fleet.Prepare:
-		return OrderBody{Kind: KindPrepare, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Turn, Model: or.Model, Version: or.Version}
+		return OrderBody{Kind: KindPrepare, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Generation, Model: or.Model, Version: or.Version}
 	case fleet.Release:
-		return OrderBody{Kind: KindRelease, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Turn}
+		return OrderBody{Kind: KindRelease, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Generation}
 	}
 	return OrderBody{}
 }
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -216,7 +216,7 @@
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetDelay(ct.da.mesh.LoadDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.LoadDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -228,7 +228,7 @@
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
 	ct.da.front.SetDaemons(num)
-	ct.da.table.SetDaemons(num)
+	ct.da.table.SetDaemonCount(num)
 }
 
 // shareLimits tells among which daemons the endpoints' limits are divided.
@@ -336,7 +336,7 @@
 	// store was read again, the steward's last view is the better one. In an outage of the
 	// store daemons left out all groups formed since, and refused half of their requests.
 	if ct.lease.core == nil && ct.follows() && (ct.haveAll || ct.told == nil) && ct.revision > 0 {
-		vi = catalog.Fold(ct.endpoints, cfg, ct.told, ct.revision)
+		vi = catalog.ViewFromEntries(ct.endpoints, cfg, ct.told, ct.revision)
 	}
 	if vi == nil {
 		return
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -153,12 +153,12 @@
 	da.peers = mesh.NewClient(set.InnerPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
-		OnLeaving:  func(li catalog.Life) { da.control.post(func() { da.control.saidLeaving(li) }) },
+		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
 		OnWrong:    func() { da.control.wrongEndpoint() },
 		Quarantine: da.quarantine, Backpressure: da.backpressure,
 		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
 		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
-		Budget: &dispatch.Budget{Began: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
+		Budget: &dispatch.Budget{StartedAt: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
 	return nil
@@ -280,7 +280,7 @@
 func (da *Daemon) peerCalls() http.Handler {
 	sv := &mesh.Server{View: da.view.Load, Daemons: da.mesh.Known,
 		Quarantine:   func() []quarantine.Entry { return da.quarantine.Entries(da.Clock.Now()) },
-		Backpressure: func() []backpressure.Word { return da.backpressure.Known(da.Clock.Now()) },
+		Backpressure: func() []backpressure.Notice { return da.backpressure.Notices(da.Clock.Now()) },
 		Config: func() ([]byte, int64) {
 			if co := da.config.Load(); co != nil {
 				return co.raw, co.Revision
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -63,7 +63,7 @@
 	}
 	now := ct.da.Clock.Now()
 	lapsed := wasAway || ct.age(now) > outageAge || now.Sub(ct.begun) < outageAge
-	for _, li := range ct.told.Lives() {
+	for _, li := range ct.told.Instances() {
 		if _, known := ct.endpoints[li.ID]; known || seen[li.ID] {
 			continue
 		}
@@ -141,7 +141,7 @@
 		return
 	}
 	// Its entry may say later than its answers that it leaves.
-	ep.Leaving = ep.Leaving || ct.da.backpressure.Leaving(ep.Life())
+	ep.Leaving = ep.Leaving || ct.da.backpressure.Leaving(ep.Instance())
 	switch {
 	case !ok && ct.firstRead:
 		// A line for each of 1,100 endpoints would delay a small machine that starts.
@@ -156,9 +156,9 @@
 	delete(ct.missing, ep.ID)
 	ct.endpoints[ep.ID] = ep
 	if ep.Leaving {
-		ct.newGone = ct.gone.note(ep.Life(), ct.da.Clock.Now()) || ct.newGone
+		ct.newGone = ct.gone.note(ep.Instance(), ct.da.Clock.Now()) || ct.newGone
 	} else {
-		delete(ct.gone, ep.Life())
+		delete(ct.gone, ep.Instance())
 	}
 	if ct.lease.core != nil {
 		ct.lease.core.Register(ep, ct.da.Clock.Now())
@@ -166,7 +166,7 @@
 }
 
 // saidLeaving takes in that an endpoint has said in an answer that it stops soon.
-func (ct *control) saidLeaving(li catalog.Life) {
+func (ct *control) saidLeaving(li catalog.Instance) {
 	ep, ok := ct.endpoints[li.ID]
 	if ok && !ep.Incarnation.Differs(li.Incarnation) {
 		ct.register(ep)
@@ -183,7 +183,7 @@
 func (ct *control) restarted(had, ep catalog.Endpoint) {
 	ct.da.Log.Info("control: endpoint started again.", "endpoint", ep.ID, "service", ep.Service,
 		"incarnation", ep.Incarnation, "before", had.Incarnation, "revision", ep.Revision)
-	ct.newGone = ct.gone.note(had.Life(), ct.da.Clock.Now()) || ct.newGone
+	ct.newGone = ct.gone.note(had.Instance(), ct.da.Clock.Now()) || ct.newGone
 	ct.da.pool.Drop(had.Address)
 }
 
@@ -195,7 +195,7 @@
 	ct.da.Log.Info("control: endpoint gone.", "endpoint", id, "service", ep.Service)
 	delete(ct.endpoints, id)
 	delete(ct.missing, id)
-	ct.newGone = ct.gone.note(ep.Life(), ct.da.Clock.Now()) || ct.newGone
+	ct.newGone = ct.gone.note(ep.Instance(), ct.da.Clock.Now()) || ct.newGone
 	if ct.lease.core != nil {
 		ct.lease.core.Unregister(id, ct.da.Clock.Now())
 	}
@@ -222,7 +222,7 @@
 		ct.unregister(id)
 		return
 	}
-	for _, li := range ct.told.Lives() {
+	for _, li := range ct.told.Instances() {
 		if li.ID == id {
 			ct.newGone = ct.gone.note(li, now) || ct.newGone
 		}
--- a/internal/entry/gone.go
+++ b/internal/entry/gone.go
@@ -22,10 +22,10 @@
 // still in its views, and for a while after it is back: entries that are missing
 // then may return. Whoever has seen one leave must send it nothing new. A server
 // that starts again under its ID has another life, which has not left.
-type goneEndpoints map[catalog.Life]time.Time
+type goneEndpoints map[catalog.Instance]time.Time
 
 // note adds an endpoint and tells whether it was new.
-func (ge goneEndpoints) note(li catalog.Life, now time.Time) bool {
+func (ge goneEndpoints) note(li catalog.Instance, now time.Time) bool {
 	if _, ok := ge[li]; ok {
 		return false
 	}
@@ -35,7 +35,7 @@
 
 // has tells whether the endpoint was seen to leave, in this life or in one that
 // was not known.
-func (ge goneEndpoints) has(li catalog.Life) bool {
+func (ge goneEndpoints) has(li catalog.Instance) bool {
 	for gone := range ge {
 		if gone.ID == li.ID && !gone.Incarnation.Differs(li.Incarnation) {
 			return true
@@ -47,8 +47,8 @@
 // lately returns the endpoints to tell the others of, and forgets those that the
 // steward, whose knowledge is from that time, knows of. A daemon that follows the store
 // tells of them for as long as the steward does not: others may have started since.
-func (ge goneEndpoints) lately(now, known time.Time, follows bool) []catalog.Life {
-	var lately []catalog.Life
+func (ge goneEndpoints) lately(now, known time.Time, follows bool) []catalog.Instance {
+	var lately []catalog.Instance
 	for li, at := range ge {
 		switch {
 		case now.Sub(at) > forgetGone && known.Sub(at) > forgetGone:
@@ -79,7 +79,7 @@
 }
 
 // hearGone takes in the endpoints that another daemon has seen leave.
-func (ct *control) hearGone(lives []catalog.Life, now time.Time) {
+func (ct *control) hearGone(lives []catalog.Instance, now time.Time) {
 	heard := false
 	for _, li := range lives {
 		if !ct.gone.note(li, now) {
--- a/internal/entry/gone_test.go
+++ b/internal/entry/gone_test.go
@@ -15,7 +15,7 @@
 // else be missing for as long as that is told.
 func TestGoneIsOneLife(t *testing.T) {
 	ge := make(goneEndpoints)
-	ge.note(catalog.Life{ID: "i-1", Incarnation: 5}, time.Unix(1000, 0))
+	ge.note(catalog.Instance{ID: "i-1", Incarnation: 5}, time.Unix(1000, 0))
 	vi := &catalog.View{
 		Plain:  []catalog.PlainEndpoint{{ID: "i-1", Incarnation: 5}, {ID: "i-1", Incarnation: 6}, {ID: "i-2", Incarnation: 5}},
 		Groups: []catalog.Group{{Name: "old", Members: []catalog.Member{{ID: "i-1", Incarnation: 5}}}, {Name: "new", Members: []catalog.Member{{ID: "i-1", Incarnation: 6}}}},
@@ -67,7 +67,7 @@
 		ct.told = &catalog.View{Term: 7, Revision: 9, Plain: []catalog.PlainEndpoint{{ID: "desk-3", Service: "desk"}}}
 		ct.snapshot(items, 4, false)
 		for id, want := range map[string]bool{"desk-3": false, "desk-1": true, "desk-2": false, "engine-1": true} {
-			if got := ct.gone.has(catalog.Life{ID: id}); got != want {
+			if got := ct.gone.has(catalog.Instance{ID: id}); got != want {
 				t.Errorf("%s: %s counts as gone: %v, want %v", tc.name, id, got, want)
 			}
 		}
@@ -85,7 +85,7 @@
 	ct.told = &catalog.View{Term: 7, Sequence: 1, Plain: []catalog.PlainEndpoint{{ID: "i-1", Service: "desk"}}}
 	cut := cl.Now()
 	cl.Advance(time.Second)
-	ct.hearGone([]catalog.Life{{ID: "i-1"}}, cl.Now())
+	ct.hearGone([]catalog.Instance{{ID: "i-1"}}, cl.Now())
 	hear := func(confirmed time.Time) {
 		ct.steward, ct.heard = mesh.Beat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
 		ct.gone.lately(cl.Now(), ct.stewardKnowledge(), false)
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -65,7 +65,7 @@
 	})
 	knows := func(ru *running) bool {
 		// A daemon that starts makes its parts before its first view.
-		return ru.da.view.Load() != nil && ru.da.backpressure.Restricted(catalog.Life{ID: id}, ru.da.Clock.Now())
+		return ru.da.view.Load() != nil && ru.da.backpressure.Restricted(catalog.Instance{ID: id}, ru.da.Clock.Now())
 	}
 	for _, ru := range sk.daemons {
 		sk.until("all daemons know", func() bool { return knows(ru) })
--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -39,7 +39,7 @@
 // quarantined tells whether the request is to be sent to no server, and for how long still.
 // Servers end under it: each attempt would cost one more, with all that it serves.
 func (ca *call) quarantined() (time.Duration, bool) {
-	return ca.sv.Quarantine.Held(ca.content, ca.sv.Clock.Now())
+	return ca.sv.Quarantine.Quarantined(ca.content, ca.sv.Clock.Now())
 }
 
 // brokenOff tells of an attempt that failed because its endpoint closed the connection. If
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -63,7 +63,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, ReadPerSecond: 50000, MeanAnswer: 100,
+	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
 		Models: []catalog.Model{{Name: "large", Size: 1, Pace: 1}}}
 	ri := &rig{t: t, table: &dispatch.Table{}, plain: &dispatch.Plain{}}
 	ri.cfg = &catalog.Config{Services: map[string]catalog.Service{"desk": {}, "engine": {Engine: en}},
@@ -79,9 +79,9 @@
 		ro := &ri.cfg.Routes[i]
 		ro.Timeout, ro.Objective, ro.PauseObjective = longTimeout, longTimeout, longTimeout
 	}
-	ri.cfg.Prepare()
+	ri.cfg.BuildIndexes()
 	ri.front = &Server{Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(&ri.log, nil)), Table: ri.table, Plain: ri.plain,
-		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnWrong: func() {}, OnLeaving: func(catalog.Life) {},
+		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnWrong: func() {}, OnLeaving: func(catalog.Instance) {},
 		Quarantine: &quarantine.Ledger{}, OnBrokenOff: ri.brokenOff, OnAnswered: ri.answeredWhole,
 		Backpressure: &backpressure.Register{},
 		Pool:         &http1.Pool{Clock: clock.System{}, DialTimeout: longTimeout},
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -16,7 +16,7 @@
 
 // Heard takes in what the head of an answer to a request says of its endpoint. sent is when the
 // request was sent.
-func (sv *Server) Heard(li catalog.Life, rsp *http.Response, sent time.Time) {
+func (sv *Server) Heard(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	// A refusal may be made before the server sees the request, so what it lacks says nothing.
 	if limit, ok := sv.limitOf(li, rsp); ok && (limit.Named || !notRun(rsp)) {
 		sv.setLimit(li, limit, sent)
@@ -26,7 +26,7 @@
 }
 
 // hearLeaving takes in that the endpoint stops soon.
-func (sv *Server) hearLeaving(li catalog.Life, rsp *http.Response) {
+func (sv *Server) hearLeaving(li catalog.Instance, rsp *http.Response) {
 	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.SaysLeaving(rsp.Header) {
 		return
 	}
@@ -39,9 +39,9 @@
 var restCount = metrics.NewCounter("corianderhub_endpoint_rests_total")
 
 // hearRest takes in that the endpoint turned a request away, and for how long it wants none.
-func (sv *Server) hearRest(li catalog.Life, rsp *http.Response, sent time.Time) {
+func (sv *Server) hearRest(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if !notRun(rsp) {
-		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
+		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
 	rest, err := platform.RestOf(rsp, sv.Clock.Now())
@@ -50,14 +50,14 @@
 	}
 	if rest > 0 {
 		restCount.Inc()
-		sv.Backpressure.SetRest(li, rest, sv.Clock.Now())
+		sv.Backpressure.SetRetryAfter(li, rest, sv.Clock.Now())
 		sv.Log.Info("front: endpoint asks for rest.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", rest.Milliseconds())
 	}
 }
 
 // HeardInCall takes in the same of an answer to a call that is no request. Servers need not say
 // there what they say in answers to requests, so what it lacks is not taken as withdrawn.
-func (sv *Server) HeardInCall(li catalog.Life, rsp *http.Response, sent time.Time) {
+func (sv *Server) HeardInCall(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if limit, ok := sv.limitOf(li, rsp); ok && limit.Named {
 		sv.setLimit(li, limit, sent)
 	}
@@ -65,7 +65,7 @@
 }
 
 // limitOf returns the limit that an answer tells of; false if it tells nothing.
-func (sv *Server) limitOf(li catalog.Life, rsp *http.Response) (backpressure.Limit, bool) {
+func (sv *Server) limitOf(li catalog.Instance, rsp *http.Response) (backpressure.Limit, bool) {
 	if rsp.StatusCode == http.StatusMisdirectedRequest {
 		// Another endpoint has the address and speaks for itself.
 		return backpressure.Limit{}, false
@@ -78,7 +78,7 @@
 	return limit, true
 }
 
-func (sv *Server) setLimit(li catalog.Life, limit backpressure.Limit, sent time.Time) {
+func (sv *Server) setLimit(li catalog.Instance, limit backpressure.Limit, sent time.Time) {
 	if sv.Backpressure.SetLimit(li, limit, sent, sv.Clock.Now()) {
 		limitChanges.Inc()
 		sv.Log.Info("front: endpoint's limit changed.", "endpoint", li.ID, "named", limit.Named, "per-second", limit.PerSecond)
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -175,9 +175,9 @@
 		}
 	}
 	first := standing(nil)
-	ri.table.Broken("group-"+first.ID, time.Now())
+	ri.table.MarkBroken("group-"+first.ID, time.Now())
 	second := standing(first)
-	ri.table.Broken("group-"+second.ID, time.Now())
+	ri.table.MarkBroken("group-"+second.ID, time.Now())
 	close(second.Resume)
 	if re := <-answer; re.status != http.StatusOK || re.body != wholeStream("id") {
 		t.Errorf("status %d, %v, body %q", re.status, re.err, re.body)
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -76,7 +76,7 @@
 // Guards against a refusal that names no limit, as one made before the server itself sees the
 // request, and against another server's answer, which say nothing of the endpoint's limit.
 func TestLimitOutlastsRefusals(t *testing.T) {
-	li := catalog.Life{ID: "desk-0"}
+	li := catalog.Instance{ID: "desk-0"}
 	answer := func(status int, header http.Header) *http.Response {
 		return &http.Response{StatusCode: status, Header: header}
 	}
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -45,7 +45,7 @@
 	// OnWrong is called when an endpoint says that it is not the one expected.
 	OnWrong func()
 	// OnLeaving is called when an endpoint has said in an answer that it stops soon.
-	OnLeaving func(catalog.Life)
+	OnLeaving func(catalog.Instance)
 	// Quarantine knows which requests end the servers that run them.
 	Quarantine *quarantine.Ledger
 	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
@@ -59,7 +59,7 @@
 	daemons  atomic.Int64
 	working  atomic.Int64
 	served   atomic.Int64
-	waits    dispatch.Waits
+	waits    dispatch.WaitEstimator
 	// firstAt is when the first request came without a configuration, in Unix nanoseconds.
 	firstAt atomic.Int64
 }
@@ -147,7 +147,7 @@
 	ca.maxIdle = maxIdle(cfg.Services[ca.service].MaxConns, int(ca.sv.daemons.Load()))
 	ca.deadline = ca.arrived.Add(ca.allowed())
 	if patience, ok := ca.patience(); ok {
-		ca.waited = ca.sv.waits.Before(ca.route.Host+ca.route.Prefix, patience, ca.route.Timeout)
+		ca.waited = ca.sv.waits.ElapsedWait(ca.route.Host+ca.route.Prefix, patience, ca.route.Timeout)
 	}
 	return ca.readBody(cfg)
 }
--- a/internal/platform/claims/book.go
+++ b/internal/platform/claims/book.go
@@ -73,7 +73,7 @@
 		switch bo.Do(ctx, op).Answer {
 		case claim.Applied:
 			return true
-		case claim.Gone:
+		case claim.NotFound:
 			// At first this is not final: the acquire may still be on its way
 			// through the shard's owner.
 			return bo.Clock.Now().Sub(begin) > batchTimeout
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -45,7 +45,7 @@
 
 func acquire(key, holder, print string) claim.Op {
 	ck := claim.NewKey("w", key)
-	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Print: print}
+	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: print}
 }
 
 func newBook(st *standin.Store) *Book {
@@ -219,7 +219,7 @@
 	var wg sync.WaitGroup
 	body := strings.Repeat("x", claim.MaxOutcomeBytes)
 	for i := range claim.SliceBytes/len(body) + 10 {
-		op := claim.Op{Kind: claim.Acquire, Shard: shard, Hash: fmt.Sprintf("%032d", first+i), Holder: "filler", Print: body}
+		op := claim.Op{Kind: claim.Acquire, Shard: shard, Hash: fmt.Sprintf("%032d", first+i), Holder: "filler", Fingerprint: body}
 		wg.Go(func() { bo.Do(context.Background(), op) })
 	}
 	wg.Wait()
