--- a/internal/core/control/platform_test.go
+++ b/internal/core/control/platform_test.go
@@ -15,8 +15,9 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-func (w *world) readConfig(no *node, ac control.ReadConfig) {
-	failed := control.ConfigArrived{Source: control.FlyPlatformConfig}
+// readConfig performs a ReadConfig action against the simulated platform.
+func (w *simulation) readConfig(no *node, ac control.ReadConfig) {
+	failed := control.ConfigArrived{Source: control.SourcePlatformConfig}
 	w.call(no, platformID, failed, func(answer func(control.Event)) {
 		st := chainstore.Store{KV: w.store, Clock: w.clock}
 		hd, _, err := st.Head(context.Background())
@@ -27,11 +28,12 @@
 		if err != nil {
 			return
 		}
-		answer(control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
+		answer(control.ConfigArrived{Source: control.SourcePlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
 	})
 }
 
-func (w *world) performStore(no *node, ac control.Action, now time.Time) {
+// performStore performs the actions that go to the platform's store.
+func (w *simulation) performStore(no *node, ac control.Action, now time.Time) {
 	ctx := context.Background()
 	dc := no.set.DataCenter
 	switch ac := ac.(type) {
@@ -44,7 +46,7 @@
 			}
 			epoch, err := w.store.Put(ctx, "stewards/"+dc, []byte(no.name), 0, lease)
 			if err == nil {
-				answer(control.LeaseWon{Lease: lease, Epoch: epoch, SentAt: now})
+				answer(control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: now})
 				return
 			}
 			w.store.Revoke(ctx, lease)
@@ -65,7 +67,7 @@
 				answer(control.LeaseFailed{SentAt: now})
 			}
 		})
-	case control.DropLease:
+	case control.ReleaseLease:
 		w.call(no, platformID, nil, func(func(control.Event)) { w.store.Revoke(ctx, ac.Lease) })
 	case control.ReadDomains:
 		w.call(no, platformID, control.DomainsRead{Failed: true}, func(answer func(control.Event)) {
@@ -90,17 +92,17 @@
 				answer(control.VMsRead{})
 				return
 			}
-			answer(control.VMsRead{VMs: w.listed(dc)})
+			answer(control.VMsRead{VMs: w.listVMs(dc)})
 		})
 	case control.WriteDomain:
-		w.call(no, platformID, control.DomainUncertain{Name: ac.Domain.Name}, func(answer func(control.Event)) {
+		w.call(no, platformID, control.DomainWriteUnconfirmed{Name: ac.Domain.Name}, func(answer func(control.Event)) {
 			raw, err := json.Marshal(ac.Domain)
 			if err != nil {
 				w.t.Fatal(err)
 			}
 			rev, err := w.store.Put(ctx, control.DomainKey(dc, ac.Domain.Name), raw, ac.IfRevision, "")
 			if err != nil {
-				answer(control.DomainUncertain{Name: ac.Domain.Name})
+				answer(control.DomainWriteUnconfirmed{Name: ac.Domain.Name})
 				return
 			}
 			answer(control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}})
@@ -110,7 +112,8 @@
 	}
 }
 
-func (w *world) listed(dc string) []fleet.VM {
+// listVMs returns the VMs in a data centre, as the platform lists them.
+func (w *simulation) listVMs(dc string) []fleet.VM {
 	vms := []fleet.VM{}
 	for _, vm := range w.vms {
 		if vm.Address == dc+"/"+vm.Name {
@@ -120,19 +123,20 @@
 	return vms
 }
 
-// setFaults changes what the platform shows.
-func (w *world) setFaults(sf standin.StoreFaults) {
+// setFaults sets the faults injected into the platform.
+func (w *simulation) setFaults(sf standin.StoreFaults) {
 	w.faults = sf
 	w.store.SetFaults(sf)
 }
 
-// apply puts a change in force through the daemon's chain.
-func (w *world) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
+// apply applies a configuration change through the given daemon and returns the
+// new revision.
+func (w *simulation) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
 	st := chainstore.Store{KV: w.store, Clock: clock.NewManual(w.clock.Now())}
 	cfg, _ := no.core.Config()
 	done, err := st.Apply(context.Background(), cfg, chainstore.Apply{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
 	if err == nil {
-		w.deliver(no, no.life, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
+		w.deliver(no, no.incarnation, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
 	}
 	return done.Revision, err
 }
