--- a/internal/http1/closed.go
+++ b/internal/http1/closed.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// PeerClosed tells whether an exchange failed because the other side closed or reset the
-// connection: its process may have ended. A time-out, or the own end of the exchange, says
-// nothing of the kind.
+// PeerClosed reports whether an exchange failed because the peer closed or reset the
+// connection, which may mean that its process has ended. It returns false for timeouts, for
+// failed dials and when this side closed the connection.
 func PeerClosed(err error) bool {
 	if errors.Is(err, net.ErrClosed) || ConnectFailed(err) {
 		return false
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// inlineBody is the largest body written before the answer is read. A
-	// larger one is written beside, since an endpoint may answer before it
-	// has read it all, and neither side would go on otherwise.
-	inlineBody = 32 << 10
-	// maxForeign is how many answers to other requests are passed over.
-	maxForeign = 2
-	// foreignPatience is how long the right answer is waited for after one to
-	// another request. A late second answer comes just before the right one.
-	foreignPatience = 500 * time.Millisecond
-	// maxSkip bounds the body of an answer that is passed over.
-	maxSkip = 256 << 10
+	// maxInlineBody is the largest request body, in bytes, that is written before the
+	// response is read. A larger body is written concurrently: an endpoint may respond
+	// before it has read the body, and both sides would then block on a write.
+	maxInlineBody = 32 << 10
+	// maxSkippedResponses is the number of responses to other requests that are skipped.
+	maxSkippedResponses = 2
+	// skipTimeout bounds the wait for the next response after one has been skipped. A
+	// late duplicate response arrives just before the expected one.
+	skipTimeout = 500 * time.Millisecond
+	// maxSkippedBytes bounds the body of a skipped response.
+	maxSkippedBytes = 256 << 10
 )
 
-// ErrForeign means that the answers on a connection were to other requests.
-var ErrForeign = errors.New("http1: answer to another request")
+// ErrForeign means that the responses on a connection belong to other requests.
+var ErrForeign = errors.New("http1: response belongs to another request")
 
-// Error is a failed exchange. Its verdict says whether the endpoint may have
-// run the request.
+// Error is a failed exchange. Verdict states whether the endpoint may have run the
+// request.
 type Error struct {
 	Verdict verdict.Verdict
-	// Connect is set when no connection could be opened.
+	// Connect is set when the connection could not be opened.
 	Connect bool
 	Err     error
 }
@@ -41,10 +41,11 @@
 // Error implements the error interface.
 func (er *Error) Error() string { return string(er.Verdict) + ": " + er.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (er *Error) Unwrap() error { return er.Err }
 
-// VerdictOf says whether a request may have run whose exchange failed so.
+// VerdictOf returns the verdict of a failed exchange: whether the request may have run. It
+// is verdict.MayHaveRun for errors other than *Error.
 func VerdictOf(err error) verdict.Verdict {
 	var er *Error
 	if errors.As(err, &er) {
@@ -53,32 +54,32 @@
 	return verdict.MayHaveRun
 }
 
-// ConnectFailed tells whether no connection could be opened.
+// ConnectFailed reports whether the exchange failed because no connection could be opened.
 func ConnectFailed(err error) bool {
 	var er *Error
 	return errors.As(err, &er) && er.Connect
 }
 
-// Request is a request as it is written to an endpoint.
+// Request is a request to an endpoint, written to the connection as given.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// IDHeader names the header that endpoints echo; an answer with another
-	// value is not the answer to this request.
+	// IDHeader names the header that endpoints echo. A response with another value
+	// belongs to another request. If IDHeader is empty, any response is accepted.
 	IDHeader string
-	// Fresh asks for a new connection. On a reused one the endpoint may be
-	// about to close it, and whether it read the request would stay unknown.
+	// Fresh requires a new connection. An endpoint may close a reused one while the
+	// request is being sent, and whether it read the request is then unknown.
 	Fresh bool
-	// MaxIdle bounds the idle connections that are kept to the address; 0 means
-	// the pool's own bound, NoIdle that the connection is closed afterwards.
+	// MaxIdle bounds the idle connections kept to the address. 0 means the pool's own
+	// limit; NoIdle closes the connection after the exchange.
 	MaxIdle int
 }
 
-// NoIdle keeps no idle connection.
+// NoIdle is the value of Request.MaxIdle that keeps no idle connection.
 const NoIdle = -1
 
-// Exchange is an answer that is being read. Close must be called.
+// Exchange is a response whose body is being read. The caller must call Close.
 type Exchange struct {
 	Response *http.Response
 	po       *Pool
@@ -86,12 +87,13 @@
 	written  chan error
 	stop     func() bool
 	maxIdle  int
-	// whole is set once the body was read to its end.
-	whole bool
+	// complete is set once the body has been read to its end.
+	complete bool
 }
 
-// Send writes the request and reads the head of its answer. Ending ctx closes
-// the connection, also while the body is read.
+// Send writes the request and reads the header of its response. Canceling ctx closes the
+// connection, also while the body is being read. A failure is returned as *Error, with the
+// verdict NotRun only if no connection could be opened.
 func (po *Pool) Send(ctx context.Context, addr string, rq *Request) (*Exchange, error) {
 	cn, err := po.get(ctx, addr, rq.Fresh)
 	if err != nil {
@@ -120,7 +122,7 @@
 		buf.WriteString("Content-Length: " + strconv.Itoa(len(rq.Body)) + "\r\n")
 	}
 	buf.WriteString("\r\n")
-	if len(rq.Body) <= inlineBody {
+	if len(rq.Body) <= maxInlineBody {
 		buf.Write(rq.Body)
 		_, err := ex.cn.nc.Write(buf.Bytes())
 		ex.written <- err
@@ -136,10 +138,10 @@
 	return nil
 }
 
-// readHead reads answers until one is to this request. A server may send a
-// second answer to an earlier request where the next one is expected.
+// readHead reads responses until one matches this request. A server may send a duplicate
+// response to an earlier request where the response to the next one is expected.
 func (ex *Exchange) readHead(rq *Request) error {
-	for range maxForeign + 1 {
+	for range maxSkippedResponses + 1 {
 		rsp, err := http.ReadResponse(ex.cn.br, &http.Request{Method: rq.Method})
 		if err != nil {
 			return err
@@ -147,27 +149,27 @@
 		if rsp.StatusCode >= 100 && rsp.StatusCode < 200 {
 			continue
 		}
-		if ex.ours(rsp, rq) {
+		if ex.matches(rsp, rq) {
 			ex.Response = rsp
 			return ex.cn.nc.SetReadDeadline(time.Time{})
 		}
 		if rsp.ContentLength < 0 && len(rsp.TransferEncoding) == 0 {
 			return ErrForeign
 		}
-		if _, err := io.CopyN(io.Discard, rsp.Body, maxSkip); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, rsp.Body, maxSkippedBytes); !errors.Is(err, io.EOF) {
 			return ErrForeign
 		}
-		if err := ex.cn.nc.SetReadDeadline(time.Now().Add(foreignPatience)); err != nil {
+		if err := ex.cn.nc.SetReadDeadline(time.Now().Add(skipTimeout)); err != nil {
 			return err
 		}
 	}
 	return ErrForeign
 }
 
-// ours tells whether the answer is to this request. Refusals may lack the
-// identifier; an answer that comes late for another request has one. Calls
-// without an identifier use connections on which no answer can be late.
-func (ex *Exchange) ours(rsp *http.Response, rq *Request) bool {
+// matches reports whether the response belongs to this request. Error responses may lack the
+// identifier, but a late response to another request always has one. Requests without an
+// identifier use connections on which no late response can occur.
+func (ex *Exchange) matches(rsp *http.Response, rq *Request) bool {
 	if rq.IDHeader == "" {
 		return true
 	}
@@ -178,26 +180,26 @@
 	return got == rq.Header.Get(rq.IDHeader)
 }
 
-// Read reads the answer's body.
+// Read reads the response body.
 func (ex *Exchange) Read(buf []byte) (int, error) {
 	num, err := ex.Response.Body.Read(buf)
 	if err == io.EOF {
-		ex.whole = true
+		ex.complete = true
 	}
 	return num, err
 }
 
-// ReadAll reads a body of at most limit bytes.
+// ReadAll reads the response body and returns an error if it exceeds limit bytes.
 func (ex *Exchange) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(ex, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		err = errors.New("http1: the answer is too large")
+		err = errors.New("http1: response body exceeds the size limit")
 	}
 	return body, err
 }
 
-// Close returns the connection to the pool if the exchange is over and clean,
-// and closes it otherwise.
+// Close returns the connection to the pool if the exchange is complete and no bytes are
+// left on the connection. Otherwise it closes the connection.
 func (ex *Exchange) Close() {
 	if !ex.stop() {
 		ex.cn.nc.Close()
@@ -206,12 +208,12 @@
 	keep := time.Duration(0)
 	select {
 	case err := <-ex.written:
-		if err == nil && ex.whole && ex.cn.br.Buffered() == 0 {
-			keep = keepFor(ex.Response)
+		if err == nil && ex.complete && ex.cn.br.Buffered() == 0 {
+			keep = keepAliveTimeout(ex.Response)
 		}
 	default:
-		// The endpoint answered before it had read the body: other bytes must
-		// not follow where the rest of that body is due.
+		// The endpoint responded before it had read the whole request body. It would
+		// read the next request as part of that body.
 	}
 	ex.po.put(ex.cn, keep, ex.maxIdle)
 }
--- a/internal/http1/exchange_test.go
+++ b/internal/http1/exchange_test.go
@@ -17,7 +17,7 @@
 
 const idHeader = "X-Id"
 
-// server accepts connections and hands each to the next of its scripts.
+// server accepts connections and runs the next of its scripts on each.
 type server struct {
 	t  *testing.T
 	ln net.Listener
@@ -45,8 +45,8 @@
 	return &server{t, ln}
 }
 
-// read reads one request.
-func read(t *testing.T, br *bufio.Reader) *http.Request {
+// readRequest reads one request with its body. It returns nil if there is none.
+func readRequest(t *testing.T, br *bufio.Reader) *http.Request {
 	t.Helper()
 	req, err := http.ReadRequest(br)
 	if err != nil {
@@ -65,7 +65,7 @@
 		Header: http.Header{idHeader: {id}}, Body: []byte("body")}
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -82,64 +82,64 @@
 	return string(body), err
 }
 
-// A server sends a second answer to a request after the first. It arrives
-// where the answer to the next request is expected, and must not be taken for
-// it.
-func TestLateSecondAnswer(t *testing.T) {
+// Guards against matching a late duplicate response to the wrong request. A server sends a
+// second response to a request, and it arrives where the response to the next one is expected.
+func TestLateDuplicateResponse(t *testing.T) {
 	second := make(chan struct{})
 	sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("1", "one"))
-		read(t, br)
-		io.WriteString(nc, answer("1", "one")+answer("2", "two"))
+		readRequest(t, br)
+		io.WriteString(nc, response("1", "one"))
+		readRequest(t, br)
+		io.WriteString(nc, response("1", "one")+response("2", "two"))
 		close(second)
 	})
 	po := newPool()
 	if body, err := send(t, po, sv, request("1")); body != "one" || err != nil {
-		t.Fatalf("got %q, %v", body, err)
+		t.Fatalf("first request: got %q, %v; want \"one\"", body, err)
 	}
 	body, err := send(t, po, sv, request("2"))
 	<-second
 	if body != "two" || err != nil {
-		t.Errorf("got %q, %v; want the answer to the second request", body, err)
+		t.Errorf("second request: got %q, %v; want \"two\"", body, err)
 	}
 }
 
-// Bytes that wait on an idle connection belong to no request. The connection
-// is given up and a new one opened.
-func TestSurplusBytesEndConnection(t *testing.T) {
+// Guards against reusing an idle connection that has unread bytes. They belong to no request,
+// so the connection is closed and a new one is opened.
+func TestSurplusBytesCloseConnection(t *testing.T) {
 	surplus := make(chan struct{})
 	sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("1", "one")+"surplus")
+		readRequest(t, br)
+		io.WriteString(nc, response("1", "one")+"surplus")
 		close(surplus)
-		read(t, br)
+		readRequest(t, br)
 	}, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("2", "two"))
+		readRequest(t, br)
+		io.WriteString(nc, response("2", "two"))
 	})
 	po := newPool()
 	if body, err := send(t, po, sv, request("1")); body != "one" || err != nil {
-		t.Fatalf("got %q, %v", body, err)
+		t.Fatalf("first request: got %q, %v; want \"one\"", body, err)
 	}
 	<-surplus
 	if body, err := send(t, po, sv, request("2")); body != "two" || err != nil {
-		t.Errorf("got %q, %v", body, err)
+		t.Errorf("second request: got %q, %v; want \"two\"", body, err)
 	}
 }
 
-// A connection that reached its server's limit is closed there while it is
-// idle. Using it would lose a request; it is found out beforehand.
+// Guards against sending a request on an idle connection that the server has closed at its
+// idle timeout: the request would be lost. The pool detects the close before it reuses the
+// connection.
 func TestClosedIdleConnection(t *testing.T) {
 	closed := make(chan struct{})
 	sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("1", "one"))
+		readRequest(t, br)
+		io.WriteString(nc, response("1", "one"))
 		nc.Close()
 		close(closed)
 	}, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("2", "two"))
+		readRequest(t, br)
+		io.WriteString(nc, response("2", "two"))
 	})
 	po := newPool()
 	if _, err := send(t, po, sv, request("1")); err != nil {
@@ -147,24 +147,24 @@
 	}
 	<-closed
 	if body, err := send(t, po, sv, request("2")); body != "two" || err != nil {
-		t.Errorf("got %q, %v", body, err)
+		t.Errorf("second request: got %q, %v; want \"two\"", body, err)
 	}
 }
 
-// An endpoint accepts few connections from all callers together and resets those
-// beyond. Idle ones that many daemons keep would take the place of new ones, so
-// the caller of the pool bounds how many are kept.
+// Guards against idle connections that use up the endpoint's connection limit. The limit
+// covers all callers together, and connections beyond it are reset, so the caller of the pool
+// bounds how many are kept.
 func TestMaxIdle(t *testing.T) {
 	tests := []struct {
 		maxIdle, kept int
 	}{{NoIdle, 0}, {1, 1}, {0, 2}}
 	for _, tc := range tests {
-		two := func(nc net.Conn, br *bufio.Reader) {
-			read(t, br)
-			io.WriteString(nc, answer("1", "one"))
+		script := func(nc net.Conn, br *bufio.Reader) {
+			readRequest(t, br)
+			io.WriteString(nc, response("1", "one"))
 			io.Copy(io.Discard, br)
 		}
-		sv := newServer(t, two, two)
+		sv := newServer(t, script, script)
 		po := newPool()
 		for range 2 {
 			rq := request("1")
@@ -174,46 +174,46 @@
 			}
 		}
 		if got := len(po.idle[sv.ln.Addr().String()]); got != tc.kept {
-			t.Errorf("at most %d idle: %d kept, want %d", tc.maxIdle, got, tc.kept)
+			t.Errorf("MaxIdle %d: %d idle connections kept, want %d", tc.maxIdle, got, tc.kept)
 		}
 	}
 }
 
-// The connection breaks after the request was written. Whether the server ran
-// it is unknown, so the verdict must say so, and nothing may be sent again.
+// Guards against retrying a request whose connection breaks after the request was written.
+// Whether the server ran it is unknown, so the verdict must be MayHaveRun.
 func TestBrokenExchangeMayHaveRun(t *testing.T) {
 	tests := []struct {
 		name string
-		says string
+		raw  string
 	}{
 		{"nothing", ""},
 		{"part of the head", "HTTP/1.1 200 OK\r\nX-I"},
 		{"no answer in the protocol", "garbage\r\n\r\n"},
-		{"only another request's answer", answer("9", "x")},
+		{"only another request's answer", response("9", "x")},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			arrived := make(chan string, 2)
 			script := func(nc net.Conn, br *bufio.Reader) {
-				if req := read(t, br); req != nil {
+				if req := readRequest(t, br); req != nil {
 					arrived <- req.Header.Get(idHeader)
 				}
-				io.WriteString(nc, tc.says)
+				io.WriteString(nc, tc.raw)
 			}
 			sv := newServer(t, script, script)
 			_, err := send(t, newPool(), sv, request("1"))
 			var he *Error
 			if !errors.As(err, &he) || he.Verdict != verdict.MayHaveRun {
-				t.Errorf("got %v, want an error that says the request may have run", err)
+				t.Errorf("got %v, want an error with the verdict MayHaveRun", err)
 			}
 			if len(arrived) != 1 {
-				t.Errorf("the request arrived %d times", len(arrived))
+				t.Errorf("the request arrived %d times, want 1", len(arrived))
 			}
 		})
 	}
 }
 
-// Nothing listens at the address: the request certainly has not run.
+// Guards against a wrong verdict when nothing listens at the address: the request has not run.
 func TestRefusedConnectionNotRun(t *testing.T) {
 	sv := newServer(t)
 	addr := sv.ln.Addr().String()
@@ -221,62 +221,61 @@
 	_, err := newPool().Send(context.Background(), addr, request("1"))
 	var he *Error
 	if !errors.As(err, &he) || he.Verdict != verdict.NotRun {
-		t.Errorf("got %v, want an error that says the request has not run", err)
+		t.Errorf("got %v, want an error with the verdict NotRun", err)
 	}
 }
 
-// An answer is cut off in its body. It must not look whole.
+// Guards against accepting a truncated response body as complete.
 func TestTruncatedBody(t *testing.T) {
-	tests := []struct{ name, says string }{
+	tests := []struct{ name, raw string }{
 		{"length", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 9\r\n\r\nhalf"},
 		{"chunks", "HTTP/1.1 200 OK\r\nX-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
-				read(t, br)
-				io.WriteString(nc, tc.says)
+				readRequest(t, br)
+				io.WriteString(nc, tc.raw)
 			})
 			if body, err := send(t, newPool(), sv, request("1")); err == nil {
-				t.Errorf("got %q without an error", body)
+				t.Errorf("got %q and no error for a truncated body", body)
 			}
 		})
 	}
 }
 
-// A server answers a long request before it has read it all, and reads on
-// later. Nothing but the rest of the body may follow on the connection, so it
-// is not used again.
-func TestEarlyAnswer(t *testing.T) {
+// Guards against reusing a connection on which the server responded before it had read the
+// whole request body. The server would read the next request as the rest of that body.
+func TestEarlyResponse(t *testing.T) {
 	done := make(chan struct{})
 	sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
 		if _, err := http.ReadRequest(br); err != nil {
 			t.Error(err)
 		}
-		io.WriteString(nc, answer("1", "no"))
+		io.WriteString(nc, response("1", "no"))
 		<-done
 	}, func(nc net.Conn, br *bufio.Reader) {
-		read(t, br)
-		io.WriteString(nc, answer("2", "two"))
+		readRequest(t, br)
+		io.WriteString(nc, response("2", "two"))
 	})
 	po := newPool()
 	rq := request("1")
 	rq.Body = []byte(strings.Repeat("x", 8<<20))
 	if body, err := send(t, po, sv, rq); body != "no" || err != nil {
-		t.Fatalf("got %q, %v", body, err)
+		t.Fatalf("first request: got %q, %v; want \"no\"", body, err)
 	}
 	if body, err := send(t, po, sv, request("2")); body != "two" || err != nil {
-		t.Errorf("got %q, %v", body, err)
+		t.Errorf("second request: got %q, %v; want \"two\"", body, err)
 	}
 	close(done)
 }
 
-// The caller leaves. The connection to the server closes, so that the server
-// can stop working on the request.
+// Guards against leaving the connection to the server open after the caller has canceled. The
+// server learns from the close that it can stop working on the request.
 func TestCancelClosesConnection(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	sv := newServer(t, func(_ net.Conn, br *bufio.Reader) {
-		read(t, br)
+		readRequest(t, br)
 		close(arrived)
 		br.ReadByte()
 		close(closed)
@@ -287,12 +286,12 @@
 		cancel()
 	}()
 	if _, err := newPool().Send(ctx, sv.ln.Addr().String(), request("1")); err == nil {
-		t.Error("no error after the caller has left")
+		t.Error("Send returned no error after its context was canceled")
 	}
 	<-closed
 }
 
-// Method, path, query, host, headers and body reach the server as they were.
+// Guards against changes to method, path, query, host, headers or body on the way to the server.
 func TestRequestIsUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	sv := newServer(t, func(nc net.Conn, br *bufio.Reader) {
@@ -303,34 +302,35 @@
 		}
 		body, _ := io.ReadAll(req.Body)
 		got <- req.Method + " " + req.RequestURI + " " + req.Host + " " + req.Header.Get(idHeader) + " " + string(body)
-		io.WriteString(nc, answer("1", ""))
+		io.WriteString(nc, response("1", ""))
 	})
 	if _, err := send(t, newPool(), sv, request("1")); err != nil {
 		t.Fatal(err)
 	}
 	if want := "POST /a%2fb?c=1 some.example 1 body"; <-got != want {
-		t.Errorf("the server did not get %q", want)
+		t.Errorf("the server did not receive %q unchanged", want)
 	}
 }
 
-// A connection is kept only as long as its server says, with a margin.
-func TestKeepFor(t *testing.T) {
+// Guards against keeping an idle connection longer than its server's Keep-Alive timeout less
+// the margin.
+func TestKeepAliveTimeout(t *testing.T) {
 	tests := []struct {
 		name   string
 		header string
 		close  bool
 		want   time.Duration
 	}{
-		{"nothing said", "", false, defaultIdle},
+		{"nothing said", "", false, defaultIdleTimeout},
 		{"two seconds", "timeout=2", false, time.Second},
 		{"one second", "timeout=1, max=5", false, 0},
-		{"longer than is useful", "timeout=60", false, defaultIdle},
+		{"longer than is useful", "timeout=60", false, defaultIdleTimeout},
 		{"closes", "timeout=60", true, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			rsp := &http.Response{Header: http.Header{"Keep-Alive": {tc.header}}, Close: tc.close}
-			if got := keepFor(rsp); got != tc.want {
+			if got := keepAliveTimeout(rsp); got != tc.want {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -1,8 +1,7 @@
-// Package http1 is the client side of HTTP/1.1 towards endpoints. It parses
-// with net/http but keeps the connections itself, since a forwarder must know
-// what net/http's transport hides: whether a request may have reached the
-// endpoint, whether bytes of an earlier answer are left on a connection, and
-// that nothing is sent twice behind its back.
+// Package http1 is an HTTP/1.1 client for endpoints. It parses with net/http but manages the
+// connections itself, because a proxy needs what the transport of net/http hides: whether a
+// request may have reached the endpoint, whether bytes of an earlier response are left on a
+// connection, and the certainty that no request is retried implicitly.
 package http1
 
 import (
@@ -24,17 +23,18 @@
 const (
 	// maxIdlePerAddr bounds the idle connections kept for each address.
 	maxIdlePerAddr = 32
-	// defaultIdle is how long an idle connection is kept when the endpoint
-	// does not tell its own limit.
-	defaultIdle = 4 * time.Second
-	// idleMargin is taken off the endpoint's own limit, so that it does not
-	// close a connection just as a request is on its way.
+	// defaultIdleTimeout is how long an idle connection is kept when the endpoint sends
+	// no Keep-Alive timeout. It is also the upper bound when the endpoint sends one.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the endpoint's timeout, so that the endpoint does not
+	// close a connection while a request is being sent on it.
 	idleMargin = time.Second
-	// readBuffer holds a few events of a stream.
-	readBuffer = 4 << 10
+	// readBufferSize is in bytes and holds a few events of a stream.
+	readBufferSize = 4 << 10
 )
 
-// Pool keeps connections to endpoints. Set the exported fields before use.
+// Pool keeps idle connections to endpoints for reuse. It is safe for concurrent use. Set the
+// exported fields before the first use.
 type Pool struct {
 	Clock clock.Clock
 	// DialTimeout bounds the opening of a connection.
@@ -44,7 +44,7 @@
 	dials       atomic.Int64
 }
 
-// conn is one connection. It belongs to one exchange at a time.
+// conn is one connection. At most one exchange uses it at a time.
 type conn struct {
 	nc     net.Conn
 	br     *bufio.Reader
@@ -53,17 +53,18 @@
 	expiry time.Time
 }
 
-// Dials returns how many connections were opened.
+// Dials returns the number of connections that the pool has tried to open.
 func (po *Pool) Dials() int64 { return po.dials.Load() }
 
-// get returns an idle connection that still looks sound, or a new one.
+// get returns an idle connection that is still usable, or a new one if there is none or fresh
+// is set.
 func (po *Pool) get(ctx context.Context, addr string, fresh bool) (*conn, error) {
 	for !fresh {
 		cn := po.takeIdle(addr)
 		if cn == nil {
 			break
 		}
-		if cn.quiet() && po.Clock.Now().Before(cn.expiry) {
+		if cn.clean() && po.Clock.Now().Before(cn.expiry) {
 			cn.reused = true
 			return cn, nil
 		}
@@ -75,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr}, nil
+	return &conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), addr: addr}, nil
 }
 
 func (po *Pool) takeIdle(addr string) *conn {
@@ -90,7 +91,8 @@
 	return cn
 }
 
-// put keeps a connection for later, unless there are enough.
+// put keeps a connection for reuse for the duration keep. It closes the connection if keep is 0
+// or the limit of idle connections is reached.
 func (po *Pool) put(cn *conn, keep time.Duration, maxIdle int) {
 	if maxIdle == 0 {
 		maxIdle = maxIdlePerAddr
@@ -112,7 +114,7 @@
 	po.idle[cn.addr] = append(po.idle[cn.addr], cn)
 }
 
-// Drop closes all idle connections to an address, whose process has ended.
+// Drop closes all idle connections to an address. It is called when the process there has ended.
 func (po *Pool) Drop(addr string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -122,7 +124,7 @@
 	delete(po.idle, addr)
 }
 
-// Sweep closes idle connections that have reached their limit.
+// Sweep closes the idle connections that have expired.
 func (po *Pool) Sweep() {
 	now := po.Clock.Now()
 	po.mu.Lock()
@@ -142,10 +144,9 @@
 	}
 }
 
-// quiet tells whether an idle connection is open and has nothing to read.
-// Bytes that wait there belong to no request: a late second answer, or the
-// end of the connection.
-func (cn *conn) quiet() bool {
+// clean reports whether an idle connection is open and has nothing to read. Unread bytes
+// belong to no request: they are a late duplicate response or the end of the connection.
+func (cn *conn) clean() bool {
 	if cn.br.Buffered() > 0 {
 		return false
 	}
@@ -167,9 +168,9 @@
 	return err == nil && quiet
 }
 
-// keepFor returns how long the endpoint lets a connection be idle, by its
-// answer; 0 when it closes it.
-func keepFor(rsp *http.Response) time.Duration {
+// keepAliveTimeout returns how long a connection may stay idle according to the endpoint's
+// response, or 0 if the endpoint closes it.
+func keepAliveTimeout(rsp *http.Response) time.Duration {
 	if rsp.Close {
 		return 0
 	}
@@ -177,8 +178,8 @@
 		name, val, _ := strings.Cut(strings.TrimSpace(part), "=")
 		secs, err := strconv.Atoi(val)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return min(defaultIdle, time.Duration(secs)*time.Second-idleMargin)
+			return min(defaultIdleTimeout, time.Duration(secs)*time.Second-idleMargin)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
