--- a/internal/endpoint/attempt.go
+++ b/internal/endpoint/attempt.go
@@ -11,28 +11,28 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// errStalled ends an attempt whose connection makes no progress.
-var errStalled = errors.New("no progress")
+// errStalled is the cancellation cause of an attempt whose connection makes no progress.
+var errStalled = errors.New("connection stalled: no progress within the timeout")
 
-// attempt watches one HTTP request: whether any of it may have reached the
-// endpoint, and whether it still makes progress.
+// attempt tracks one HTTP request: whether any of it may have reached the endpoint, and
+// whether it still makes progress.
 type attempt struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// left is set once a connection is there to write to. Before that the
-	// endpoint cannot have seen the request.
-	left  atomic.Bool
-	timer *time.Timer
+	// connected is set once there is a connection to write to. Before that the
+	// endpoint cannot have received the request.
+	connected atomic.Bool
+	timer     *time.Timer
 }
 
-// newAttempt returns an attempt that is cancelled when progress is not called
-// for stall. Silent connections look alive to the kernel for minutes; only
-// the absence of progress shows them.
+// newAttempt returns an attempt that is canceled when resetTimer is not called for the
+// duration stall; 0 disables the timer. The kernel reports a dead connection only after
+// minutes, so a lack of progress is the only timely sign of one.
 func newAttempt(ctx context.Context, stall time.Duration) *attempt {
 	at := &attempt{}
 	ctx, at.cancel = context.WithCancelCause(ctx)
 	at.ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { at.left.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { at.connected.Store(true) },
 	})
 	if stall > 0 {
 		at.timer = time.AfterFunc(stall, func() { at.cancel(errStalled) })
@@ -40,7 +40,7 @@
 	return at
 }
 
-func (at *attempt) progress(stall time.Duration) {
+func (at *attempt) resetTimer(stall time.Duration) {
 	if at.timer != nil {
 		at.timer.Reset(stall)
 	}
@@ -53,10 +53,11 @@
 	at.cancel(nil)
 }
 
-// fail returns err with the verdict that the attempt's progress allows.
-func (at *attempt) fail(code verdict.Code, message string, err error) *verdict.Error {
+// newError returns an error that wraps err, or the cause of the cancellation if there is one.
+// Its verdict is NotRun if no connection was established and MayHaveRun otherwise.
+func (at *attempt) newError(code verdict.Code, message string, err error) *verdict.Error {
 	ve := &verdict.Error{Code: code, Verdict: verdict.MayHaveRun, Message: message, Cause: err}
-	if !at.left.Load() {
+	if !at.connected.Load() {
 		ve.Verdict = verdict.NotRun
 	}
 	if cause := context.Cause(at.ctx); cause != nil {
@@ -65,9 +66,9 @@
 	return ve
 }
 
-// refusal returns the error for an answer by which the endpoint says that it
-// did not run the request, or nil.
-func refusal(rsp *http.Response) *verdict.Error {
+// refusalError returns the error for a response that states that the endpoint did not run the
+// request, or nil for any other response.
+func refusalError(rsp *http.Response) *verdict.Error {
 	if rsp.Header.Get(HeaderVerdict) != string(verdict.NotRun) {
 		return nil
 	}
--- a/internal/endpoint/complete.go
+++ b/internal/endpoint/complete.go
@@ -22,31 +22,32 @@
 	Fence     uint64
 	// Path is the engine's path, for example /v1/chat/completions.
 	Path string
-	// Body is the whole JSON request, with streaming asked for.
+	// Body is the JSON request, with streaming enabled.
 	Body []byte
-	// Stall is how long the engine may go without sending anything.
+	// Stall is the longest time that the engine may send nothing.
 	Stall time.Duration
-	// Before is called right before the request is sent and may refuse it.
+	// Before is called right before the request is sent. If it returns an error, the
+	// request is not sent.
 	Before func() *verdict.Error
 }
 
-// Chunk is one event of a completion's stream.
+// Chunk is one event of a completion stream.
 type Chunk struct {
 	// Text is the generated text.
 	Text string
-	// Finish is the finish reason, in the last chunk of text.
+	// Finish is the finish reason. It is set in the last chunk with text.
 	Finish string
-	// Usage is the engine's account, if the chunk has one.
+	// Usage is the engine's token usage as raw JSON, if the chunk contains it.
 	Usage json.RawMessage
 }
 
-// doneMark ends every whole stream. A stream without it was cut off, however
-// cleanly the connection closed.
-const doneMark = "[DONE]"
+// streamTerminator is the last event of every complete stream. A stream without it is
+// truncated, even if the connection was closed cleanly.
+const streamTerminator = "[DONE]"
 
 const maxLineBytes = 1 << 20
 
-// chunkBody is the engine's form of a chunk, for chat and plain completions.
+// chunkBody is the JSON form of a chunk, for chat and text completions.
 type chunkBody struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -59,22 +60,21 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Engines sends completions to groups' leaders.
+// Engines sends completion requests to the leaders of groups.
 type Engines struct {
 	Transport http.RoundTripper
 }
 
-// Complete sends the request and calls emit for each chunk in order. It
-// returns nil only after the stream's terminator. An error of emit ends the
-// attempt and is returned as it is.
+// Complete sends the request and calls emit for each chunk in order. It returns nil only after
+// the stream's terminator. An error from emit ends the attempt and is returned unchanged.
 func (es Engines) Complete(ctx context.Context, co Completion, emit func(Chunk) error) error {
 	at := newAttempt(ctx, co.Stall)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, http.MethodPost, "http://"+co.Address+co.Path, bytes.NewReader(co.Body))
 	if err != nil {
-		return at.fail(verdict.CodeBadRequest, "the request could not be made", err)
+		return at.newError(verdict.CodeBadRequest, "the request could not be made", err)
 	}
-	// Without GetBody the transport cannot replay the request by itself.
+	// Without GetBody the transport cannot retry the request by itself.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderRequestID, co.RequestID)
@@ -85,18 +85,18 @@
 	}
 	rsp, err := es.Transport.RoundTrip(req)
 	if err != nil {
-		return at.fail(verdict.CodeEndpointFailed, "the engine did not answer", err)
+		return at.newError(verdict.CodeEndpointFailed, "the engine did not answer", err)
 	}
 	defer rsp.Body.Close()
-	if ve := checkAnswer(rsp, co.RequestID); ve != nil {
+	if ve := checkResponse(rsp, co.RequestID); ve != nil {
 		return ve
 	}
-	return at.read(rsp.Body, co.Stall, emit)
+	return at.readStream(rsp.Body, co.Stall, emit)
 }
 
-// checkAnswer refuses what is not the answer to this very request.
-func checkAnswer(rsp *http.Response, requestID string) error {
-	if ve := refusal(rsp); ve != nil {
+// checkResponse returns an error unless the response is a success response to this request.
+func checkResponse(rsp *http.Response, requestID string) error {
+	if ve := refusalError(rsp); ve != nil {
 		return ve
 	}
 	if got := rsp.Header.Get(HeaderRequestID); got != requestID {
@@ -114,28 +114,28 @@
 	return nil
 }
 
-func (at *attempt) read(body io.Reader, stall time.Duration, emit func(Chunk) error) error {
+func (at *attempt) readStream(body io.Reader, stall time.Duration, emit func(Chunk) error) error {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	for sc.Scan() {
-		at.progress(stall)
+		at.resetTimer(stall)
 		data, ok := strings.CutPrefix(sc.Text(), "data:")
 		if !ok {
 			continue
 		}
 		data = strings.TrimSpace(data)
-		if data == doneMark {
+		if data == streamTerminator {
 			return nil
 		}
 		ch, err := parseChunk(data)
 		if err != nil {
-			return at.fail(verdict.CodeBrokenAnswer, "the engine sent a broken chunk", err)
+			return at.newError(verdict.CodeBrokenAnswer, "the engine sent a broken chunk", err)
 		}
 		if err := emit(ch); err != nil {
 			return err
 		}
 	}
-	return at.fail(verdict.CodeBrokenAnswer, "the stream ended without its terminator", sc.Err())
+	return at.newError(verdict.CodeBrokenAnswer, "the stream ended without its terminator", sc.Err())
 }
 
 func parseChunk(data string) (Chunk, error) {
--- a/internal/endpoint/member.go
+++ b/internal/endpoint/member.go
@@ -1,5 +1,6 @@
-// Package endpoint speaks to endpoints: the model engines' members and the
-// plain services beside them. Every failure it returns carries a verdict.
+// Package endpoint is the HTTP client for endpoints: the members of model engines and plain
+// services. Failed completions and service calls return a *verdict.Error, which states whether
+// the request may have run.
 package endpoint
 
 import (
@@ -19,20 +20,21 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-// Headers of the engines' protocol.
+// Headers of the engine protocol.
 const (
-	// HeaderRequestID carries the request's ID both ways.
+	// HeaderRequestID carries the request ID in requests and responses.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderGroup and HeaderFence name the group that a request is meant for.
+	// HeaderGroup and HeaderFence identify the group, by its ID and fencing token, that a
+	// request is meant for.
 	HeaderGroup = "X-Group"
 	HeaderFence = "X-Fence"
 	// HeaderVerdict is set to "not-run" by an endpoint that refuses a request.
 	HeaderVerdict = "X-Verdict"
 )
 
-// OrderBody is an order on the wire.
+// OrderBody is the JSON body of an order to a member.
 type OrderBody struct {
-	// Kind is "join", "release" or "prepare".
+	// Kind is KindJoin, KindRelease or KindPrepare.
 	Kind        string        `json:"kind"`
 	Incarnation string        `json:"incarnation"`
 	Fence       uint64        `json:"fence"`
@@ -45,13 +47,13 @@
 	Ring        []RingAddress `json:"ring,omitempty"`
 }
 
-// RingAddress is a VM of the ring, the leader first.
+// RingAddress is a VM in a group's ring and its address. The leader is the first of a ring.
 type RingAddress struct {
 	VM      string `json:"vm"`
 	Address string `json:"address"`
 }
 
-// Kinds of OrderBody.
+// Values of OrderBody.Kind.
 const (
 	KindJoin    = "join"
 	KindRelease = "release"
@@ -64,60 +66,60 @@
 	maxReportBytes = 64 << 10
 )
 
-// Members asks and orders the engines' members.
+// Members polls engine members and sends orders to them.
 type Members struct {
-	// Transport is shared by all members; http.DefaultTransport when nil.
+	// Transport is shared by all members. If it is nil, http.DefaultTransport is used.
 	Transport http.RoundTripper
 }
 
 func (ms Members) client() *http.Client { return &http.Client{Transport: ms.Transport} }
 
-// Probe asks the member at addr for its report. Refused tells that the
-// address refused the connection, so that no engine runs there.
+// Probe requests the report of the member at addr. refused is set when the address refuses the
+// connection, which means that no engine runs there.
 func (ms Members) Probe(ctx context.Context, addr string) (report *fleet.Report, refused bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/member", nil)
 	if err != nil {
-		return nil, false, eris.Wrap(err, "probe")
+		return nil, false, eris.Wrap(err, "create probe request")
 	}
 	rsp, err := ms.client().Do(req)
 	if err != nil {
-		return nil, errors.Is(err, syscall.ECONNREFUSED), eris.Wrap(err, "probe")
+		return nil, errors.Is(err, syscall.ECONNREFUSED), eris.Wrap(err, "probe member")
 	}
 	defer rsp.Body.Close()
 	if rsp.StatusCode != http.StatusOK {
-		return nil, false, eris.Errorf("probe: status %d", rsp.StatusCode)
+		return nil, false, eris.Errorf("probe member: status %d, want 200", rsp.StatusCode)
 	}
 	report = &fleet.Report{}
 	err = json.NewDecoder(io.LimitReader(rsp.Body, maxReportBytes)).Decode(report)
 	if err != nil {
-		return nil, false, eris.Wrap(err, "probe")
+		return nil, false, eris.Wrap(err, "decode member report")
 	}
 	return report, false, nil
 }
 
-// Send delivers an order. A refusal is no error for the caller to mend: the
-// next plan starts from what the member reports.
+// Send delivers an order. It returns an error when the member refuses the order; the caller
+// need not handle a refusal, because the next plan starts from the member's report.
 func (ms Members) Send(ctx context.Context, or fleet.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	raw, err := json.Marshal(orderBody(or))
 	if err != nil {
-		return eris.Wrap(err, "order")
+		return eris.Wrap(err, "encode order")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+or.Target().Address+"/orders", bytes.NewReader(raw))
 	if err != nil {
-		return eris.Wrap(err, "order")
+		return eris.Wrap(err, "create order request")
 	}
 	req.GetBody = nil
 	rsp, err := ms.client().Do(req)
 	if err != nil {
-		return eris.Wrap(err, "order")
+		return eris.Wrap(err, "send order")
 	}
 	defer rsp.Body.Close()
 	if rsp.StatusCode != http.StatusOK {
-		return eris.Errorf("order refused: status %d", rsp.StatusCode)
+		return eris.Errorf("order refused: status %d, want 200", rsp.StatusCode)
 	}
 	return nil
 }
@@ -139,8 +141,8 @@
 	return OrderBody{}
 }
 
-// NewTransport returns a transport for endpoints that keeps up to perHost
-// idle connections to each.
+// NewTransport returns a transport for endpoints that keeps at most perHost idle connections
+// to each.
 func NewTransport(perHost int) *http.Transport {
 	return &http.Transport{
 		DialContext:           (&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}).DialContext,
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -12,36 +12,36 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Call is one attempt at a plain service.
+// Call is one attempt to call a plain service.
 type Call struct {
 	RequestID string
 	Address   string
 	Method    string
-	// Path holds the path with its query.
+	// Path is the path including the query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once means that the call must not run twice.
+	// Once forbids that the call runs twice. It is sent on a new connection.
 	Once    bool
 	Timeout time.Duration
 }
 
-// Answer is a service's whole answer.
+// Answer is the complete response of a service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-const maxAnswerBytes = 8 << 20
+const maxResponseBytes = 8 << 20
 
 // Services calls plain services.
 type Services struct {
-	// Transport keeps connections for calls that may be repeated.
+	// Transport reuses connections. It is used for calls that may be retried.
 	Transport http.RoundTripper
-	// OnceTransport never reuses a connection. net/http replays a request by
-	// itself when a reused connection fails and the request has an
-	// Idempotency-Key; on a fresh connection it never does.
+	// OnceTransport never reuses a connection. net/http retries a request by itself when a
+	// reused connection fails and the request has an Idempotency-Key, but never on a new
+	// connection.
 	OnceTransport http.RoundTripper
 }
 
@@ -52,13 +52,13 @@
 	return tr
 }
 
-// Do makes the call and reads the answer whole.
+// Do makes the call and reads the complete response.
 func (ss Services) Do(ctx context.Context, ca Call) (Answer, error) {
 	at := newAttempt(ctx, ca.Timeout)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, ca.Method, "http://"+ca.Address+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeBadRequest, "the call could not be made", err)
+		return Answer{}, at.newError(verdict.CodeBadRequest, "the call could not be made", err)
 	}
 	if ca.Header != nil {
 		req.Header = ca.Header.Clone()
@@ -71,30 +71,30 @@
 	}
 	rsp, err := transport.RoundTrip(req)
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeEndpointFailed, "the service did not answer", err)
+		return Answer{}, at.newError(verdict.CodeEndpointFailed, "the service did not answer", err)
 	}
 	defer rsp.Body.Close()
-	return at.answer(rsp, ca)
+	return at.readResponse(rsp, ca)
 }
 
-func (at *attempt) answer(rsp *http.Response, ca Call) (Answer, error) {
-	if ve := refusal(rsp); ve != nil {
+func (at *attempt) readResponse(rsp *http.Response, ca Call) (Answer, error) {
+	if ve := refusalError(rsp); ve != nil {
 		return Answer{}, ve
 	}
 	if got := rsp.Header.Get(HeaderRequestID); got != "" && got != ca.RequestID {
 		return Answer{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
 			Message: "the service answered request " + strconv.Quote(got)}
 	}
-	// An answer that ends with its connection looks whole wherever it is cut.
+	// A body that is delimited by the end of the connection cannot be told from a truncated one.
 	if rsp.ContentLength < 0 && !slices.Contains(rsp.TransferEncoding, "chunked") {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
+		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
 	}
-	body, err := io.ReadAll(io.LimitReader(rsp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes+1))
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer was cut off", err)
+		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer was cut off", err)
 	}
-	if len(body) > maxAnswerBytes {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer is too large", nil)
+	if len(body) > maxResponseBytes {
+		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer is too large", nil)
 	}
 	return Answer{Status: rsp.StatusCode, Header: rsp.Header, Body: body}, nil
 }
--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -12,10 +12,10 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// rudeServer answers the first request of each connection and closes the
-// connection after reading any further one, as a server does that restarts.
-// It counts the requests that it has read.
-func rudeServer(t *testing.T) (addr string, read *atomic.Int64) {
+// closingServer responds to the first request of each connection and closes the connection
+// after it has read a second one, as a restarting server does. It counts the requests that it
+// has read at /count.
+func closingServer(t *testing.T) (addr string, read *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,13 +29,13 @@
 			if err != nil {
 				return
 			}
-			go rude(conn, read)
+			go serveClosing(conn, read)
 		}
 	}()
 	return ln.Addr().String(), read
 }
 
-func rude(conn net.Conn, read *atomic.Int64) {
+func serveClosing(conn net.Conn, read *atomic.Int64) {
 	defer conn.Close()
 	br := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -59,10 +59,9 @@
 	}
 }
 
-// net/http sends a request again by itself when a reused connection breaks,
-// if it is idempotent or has an idempotency key. The service then runs a
-// booking twice although the daemon sent it once. A call that must run once
-// never goes over a connection that was used before.
+// Guards against a call that runs twice although it was sent once. net/http retries a request
+// by itself when a reused connection breaks and the request is idempotent or has an
+// Idempotency-Key. A call that must run at most once therefore never uses a reused connection.
 func TestTransportDoesNotReplay(t *testing.T) {
 	tests := []struct {
 		name string
@@ -73,7 +72,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			addr, read := rudeServer(t)
+			addr, read := closingServer(t)
 			ss := Services{Transport: NewTransport(4), OnceTransport: NewOnceTransport()}
 			warm := Call{Address: addr, Method: http.MethodGet, Path: "/", Timeout: time.Minute}
 			if _, err := ss.Do(context.Background(), warm); err != nil {
@@ -92,7 +91,8 @@
 	}
 }
 
-// respond serves one raw answer to each connection.
+// respond starts a server that sends the same raw response on each connection, and returns its
+// address.
 func respond(t *testing.T, answer string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,7 +115,7 @@
 	return ln.Addr().String()
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	tests := []struct {
 		name    string
 		answer  string
@@ -150,7 +150,7 @@
 	}
 }
 
-// Nothing listens: the request can't have run.
+// Guards against a wrong verdict when nothing listens at the address: the request has not run.
 func TestRefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
