--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -10,25 +10,27 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// reasonQuarantined is that of a refusal because servers end under the request.
+// reasonQuarantined is the reason of a refusal of a quarantined request: one that server
+// processes have crashed on.
 const reasonQuarantined = "quarantined"
 
-// BrokenOff is a request whose endpoint closed the connection before the answer's end.
+// BrokenOff is a request whose endpoint closed the connection before the response was complete.
 type BrokenOff struct {
 	Request quarantine.Fingerprint
-	// Endpoint is the endpoint's identifier, Address where it listened.
+	// Endpoint is the endpoint's ID, Address the address that the request was sent to.
 	Endpoint, Address string
 }
 
-// knowContent notes by what the request is known again, and has all its log lines say it:
-// the identifier is another one with each attempt of a caller.
-func (ca *call) knowContent() {
+// computeFingerprint sets the request's fingerprint and adds it to all its log lines. The
+// request ID can't serve for this, because it differs between a caller's attempts.
+func (ca *call) computeFingerprint() {
 	co := quarantine.Content{Method: ca.req.Method, Host: ca.req.Host, URI: ca.req.RequestURI, Caller: ca.caller(), Body: ca.body}
-	ca.content = co.Fingerprint()
-	ca.log = ca.log.With("content", ca.content)
+	ca.fingerprint = co.Fingerprint()
+	ca.log = ca.log.With("content", ca.fingerprint)
 }
 
-// caller is whom the request is from. A workspace's keys may change between attempts.
+// caller identifies the caller: by workspace, or by the authorization header if there is none.
+// The workspace is preferred because its keys may change between attempts.
 func (ca *call) caller() string {
 	if ca.workspace != nil {
 		return ca.workspace.Name
@@ -36,21 +38,22 @@
 	return ca.req.Header.Get(platform.HeaderAuthorization)
 }
 
-// quarantined tells whether the request is to be sent to no server, and for how long still.
-// Servers end under it: each attempt would cost one more, with all that it serves.
+// quarantined reports whether the request must not be sent to any server, and for how much
+// longer. Server processes have crashed on it: each attempt could crash another one, with all
+// requests that it serves.
 func (ca *call) quarantined() (time.Duration, bool) {
-	return ca.sv.Quarantine.Held(ca.content, ca.sv.Clock.Now())
+	return ca.sv.Quarantine.Held(ca.fingerprint, ca.sv.Clock.Now())
 }
 
-// brokenOff tells of an attempt that failed because its endpoint closed the connection. If
-// endpoints have ended under the request before, it waits until it is known whether this
-// one has, so that the request is not sent on to the next one meanwhile.
-func (ca *call) brokenOff(ctx context.Context, endpoint, addr string, err error) {
-	if !http1.PeerClosed(err) && !errors.Is(err, errCutOff) {
+// reportDisconnect reports an attempt that failed because its endpoint closed the connection.
+// If endpoints have crashed on the request before, it waits until it is known whether this one
+// has, so that the request is not sent to the next endpoint in the meantime.
+func (ca *call) reportDisconnect(ctx context.Context, endpoint, addr string, err error) {
+	if !http1.PeerClosed(err) && !errors.Is(err, errTruncatedEvent) {
 		return
 	}
-	known := ca.sv.OnBrokenOff(BrokenOff{ca.content, endpoint, addr})
-	if !ca.sv.Quarantine.Suspected(ca.content) {
+	known := ca.sv.OnBrokenOff(BrokenOff{ca.fingerprint, endpoint, addr})
+	if !ca.sv.Quarantine.Suspected(ca.fingerprint) {
 		return
 	}
 	select {
@@ -59,10 +62,10 @@
 	}
 }
 
-// outlived tells that an endpoint has answered the request whole and goes on: what ended
-// under it before ended for another reason.
-func (ca *call) outlived() {
-	if ca.sv.Quarantine.Suspected(ca.content) {
-		ca.sv.OnAnswered(ca.content)
+// reportCompletion reports that an endpoint has completed the request and keeps running. The
+// earlier crashes under the request then had another reason.
+func (ca *call) reportCompletion() {
+	if ca.sv.Quarantine.Suspected(ca.fingerprint) {
+		ca.sv.OnAnswered(ca.fingerprint)
 	}
 }
--- a/internal/front/events.go
+++ b/internal/front/events.go
@@ -7,18 +7,18 @@
 	"strconv"
 )
 
-// errCutOff means that a stream ended within an event.
-var errCutOff = errors.New("front: the stream ended within an event")
+// errTruncatedEvent means that a stream ended within an event.
+var errTruncatedEvent = errors.New("front: stream truncated within an event")
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
-// eventReader splits a stream into whole events, each up to its blank line. A
-// stream that breaks off within an event never shows the part of it.
+// eventReader splits a stream into complete events, each up to and including its blank line.
+// It never returns a part of an event when the stream is truncated.
 type eventReader struct {
 	from io.Reader
 	buf  []byte
-	// start and end mark what was read and not yet returned.
+	// start and end delimit the bytes in buf that have been read and not yet returned.
 	start, end int
 }
 
@@ -26,24 +26,24 @@
 	return &eventReader{from: from, buf: make([]byte, 2<<10)}
 }
 
-// next returns the next event with its blank line. It returns io.EOF only at
-// the end of a whole stream.
+// next returns the next event with its blank line. It returns io.EOF only at the end of a
+// complete stream.
 func (er *eventReader) next() ([]byte, error) {
 	for {
-		if event := er.take(); event != nil {
+		if event := er.nextBuffered(); event != nil {
 			return event, nil
 		}
 		if err := er.fill(); err != nil {
 			if err == io.EOF && er.end > er.start {
-				return nil, errCutOff
+				return nil, errTruncatedEvent
 			}
 			return nil, err
 		}
 	}
 }
 
-// take returns a whole event that was read already.
-func (er *eventReader) take() []byte {
+// nextBuffered returns the next complete event in the buffer, or nil if there is none.
+func (er *eventReader) nextBuffered() []byte {
 	rest := er.buf[er.start:er.end]
 	at, size := bytes.Index(rest, []byte("\n\n")), 2
 	if crlf := bytes.Index(rest, []byte("\r\n\r\n")); crlf >= 0 && (at < 0 || crlf < at) {
@@ -63,8 +63,8 @@
 		er.start = 0
 	}
 	if er.end == len(er.buf) {
-		if len(er.buf) >= maxEvent {
-			return errors.New("front: an event is too large")
+		if len(er.buf) >= maxEventBytes {
+			return errors.New("front: event exceeds 1 MiB")
 		}
 		er.buf = append(er.buf, make([]byte, len(er.buf))...)
 	}
@@ -76,7 +76,7 @@
 	return err
 }
 
-// eventID returns the identifier of an event, which grows along a stream.
+// eventID returns the ID of an event. IDs increase along a stream.
 func eventID(event []byte) (int64, bool) {
 	for len(event) > 0 {
 		line, rest, _ := bytes.Cut(event, []byte("\n"))
--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -19,8 +19,8 @@
 		{"whole", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", []string{"id: 1\r\ndata: a\r\n\r\n"}, io.EOF},
 		{"empty", "", nil, io.EOF},
-		{"broken off within an event", "id: 1\ndata: a\n\nid: 2\nda", []string{"id: 1\ndata: a\n\n"}, errCutOff},
-		{"broken off before the blank line", "id: 1\ndata: a\n", nil, errCutOff},
+		{"truncated within an event", "id: 1\ndata: a\n\nid: 2\nda", []string{"id: 1\ndata: a\n\n"}, errTruncatedEvent},
+		{"truncated before the blank line", "id: 1\ndata: a\n", nil, errTruncatedEvent},
 		{"large event", "data: " + strings.Repeat("x", 9000) + "\n\n", []string{"data: " + strings.Repeat("x", 9000) + "\n\n"}, io.EOF},
 	}
 	for _, tc := range tests {
@@ -32,7 +32,7 @@
 				got = append(got, string(event))
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" || !errors.Is(err, tc.err) {
-				t.Errorf("%s: %v, want %v: %s", tc.name, err, tc.err, diff)
+				t.Errorf("%s: error %v, want %v; events (-want +got):\n%s", tc.name, err, tc.err, diff)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 	}
 	for _, tc := range tests {
 		if id, ok := eventID([]byte(tc.event)); id != tc.id || ok != tc.ok {
-			t.Errorf("%q: %d, %v", tc.event, id, ok)
+			t.Errorf("%q: got ID %d, %v", tc.event, id, ok)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 			got.Write(event)
 		}
 		if !strings.HasPrefix(stream, got.String()) {
-			t.Errorf("events %q are no beginning of %q", got.String(), stream)
+			t.Errorf("events %q are not a prefix of the stream %q", got.String(), stream)
 		}
 	})
 }
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -12,14 +12,14 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// hopHeaders concern one connection only and are never passed on.
+// hopHeaders are the hop-by-hop headers. They apply to one connection and are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// ownHeaders are set by this system alone, whatever the caller sent.
-var ownHeaders = []string{platform.HeaderWorkspace, platform.HeaderExpectEndpoint, platform.HeaderPriority, platform.HeaderDeadline}
+// reservedHeaders are set only by this system. Values sent by the caller are removed.
+var reservedHeaders = []string{platform.HeaderWorkspace, platform.HeaderExpectEndpoint, platform.HeaderPriority, platform.HeaderDeadline}
 
-func dropHop(header http.Header) {
+func removeHopHeaders(header http.Header) {
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
 			header.Del(strings.TrimSpace(name))
@@ -30,47 +30,48 @@
 	}
 }
 
-// outgoing returns the request as it is sent to an endpoint, which refuses it
-// unless it is the one expected.
-func (ca *call) outgoing(endpoint string, fresh bool) *http1.Request {
+// endpointRequest returns the request to send to an endpoint. The endpoint refuses it unless
+// its ID is the expected one. fresh requires a new connection.
+func (ca *call) endpointRequest(endpoint string, fresh bool) *http1.Request {
 	header := ca.req.Header.Clone()
-	dropHop(header)
-	for _, name := range ownHeaders {
+	removeHopHeaders(header)
+	for _, name := range reservedHeaders {
 		header.Del(name)
 	}
-	if ca.keyed {
+	if ca.needsKey {
 		header.Del(platform.HeaderAuthorization)
 	}
 	if ca.workspace != nil {
 		header.Set(platform.HeaderWorkspace, ca.workspace.Name)
 	}
 	header.Set(platform.HeaderExpectEndpoint, endpoint)
-	header.Set(platform.HeaderDeadline, strconv.FormatInt(max(1, ca.left().Milliseconds()), 10))
+	header.Set(platform.HeaderDeadline, strconv.FormatInt(max(1, ca.remaining().Milliseconds()), 10))
 	header.Set(platform.HeaderPriority, strconv.Itoa(ca.priority()))
 	return &http1.Request{Method: ca.req.Method, URI: ca.req.RequestURI, Host: ca.req.Host, Header: header,
 		Body: ca.body, IDHeader: platform.HeaderRequestID, Fresh: fresh, MaxIdle: ca.maxIdle}
 }
 
-// idleShare is the part of the connections that an endpoint accepts which all
-// daemons together may keep idle. New ones must always find a place: beyond it
-// they are reset, and whether a request that must not repeat was read is then
-// unknown. With 68 daemons and 110 connections, idle ones of 4 s made 455 resets
-// in a day of 32,000 requests.
+// idleShare is the share of an endpoint's connection limit that all daemons together may use
+// for idle connections. The rest stays free for new connections: the endpoint resets those
+// beyond its limit, and whether a request that must not be retried was read is then unknown.
+// With 68 daemons and a limit of 110 connections, connections kept idle for 4 s caused 455
+// resets in a day of 32,000 requests.
 const idleShare = 0.3
 
-// maxIdle is how many idle connections this daemon may keep to an endpoint that
-// accepts that many from all of the daemons.
-func maxIdle(accepts, daemons int) int {
-	if accepts <= 0 {
+// maxIdle returns how many idle connections this daemon may keep to an endpoint whose limit for
+// all daemons together is maxConns. It returns 0, the default of the pool, if there is no limit.
+func maxIdle(maxConns, daemons int) int {
+	if maxConns <= 0 {
 		return 0
 	}
-	if each := int(idleShare * float64(accepts) / float64(max(1, daemons))); each > 0 {
+	if each := int(idleShare * float64(maxConns) / float64(max(1, daemons))); each > 0 {
 		return each
 	}
 	return http1.NoIdle
 }
 
-// priority is the request's rank, from 0 to 9; a workspace's goes first.
+// priority returns the request's priority, from 0 to 9. The workspace's priority overrides the
+// route's.
 func (ca *call) priority() int {
 	if ca.workspace != nil && ca.workspace.Priority >= 0 {
 		return min(maxPriority, ca.workspace.Priority)
@@ -82,7 +83,7 @@
 
 func copyHeaders(to, from http.Header) {
 	from = from.Clone()
-	dropHop(from)
+	removeHopHeaders(from)
 	for name, vals := range from {
 		to[name] = vals
 	}
@@ -90,31 +91,33 @@
 
 func hash(text string) uint64 { return xxhash.Sum64String(text) }
 
-// notRun tells whether an endpoint's answer says that it did not run the
-// request and never will.
+// notRun reports whether a response states that the endpoint did not run the request and never
+// will.
 func notRun(rsp *http.Response) bool {
 	return rsp.StatusCode == http.StatusMisdirectedRequest || rsp.Header.Get(platform.HeaderNotRun) != ""
 }
 
-// refusal is an answer of this system's own.
+// refusal is a response generated by this daemon instead of an endpoint.
 type refusal struct {
 	status int
 	reason string
-	// again is when the caller may come back; 0 when that would not help.
-	again time.Duration
-	cause error
+	// retryAfter is the delay after which the caller may retry; 0 if a retry is useless.
+	retryAfter time.Duration
+	cause      error
 }
 
 const (
-	// againStarting is when a daemon that has just started should know more.
-	againStarting = 300 * time.Millisecond
-	// againSpread is the part of the time to come back that varies, so that
-	// callers who were refused together don't return together.
-	againSpread = 0.5
+	// retryAfterStarting is the retry delay while a daemon that has just started reads its
+	// configuration.
+	retryAfterStarting = 300 * time.Millisecond
+	// retryAfterJitter is the largest extension of a retry delay, as a share of the delay. The
+	// extension depends on the request ID, so that callers that were refused together don't
+	// retry together.
+	retryAfterJitter = 0.5
 )
 
-// refuse answers the request by itself. The status says what is known: 503
-// only if the request did not run and never will.
+// refuse sends a response without an endpoint. The status is 503 only if the request did not
+// run and never will.
 func (ca *call) refuse(re refusal) {
 	attrs := []any{"outcome", "refused", "status", re.status, "reason", re.reason, "sends", ca.sends,
 		"waited-ms", ca.waited.Milliseconds(), "ms", ca.sv.Clock.Now().Sub(ca.arrived).Milliseconds()}
@@ -128,14 +131,14 @@
 	if ca.id != "" {
 		header.Set(platform.HeaderRequestID, ca.id)
 	}
-	if re.again > 0 {
-		wait := re.again.Seconds() * (1 + againSpread*float64(hash(ca.id)%1000)/1000)
+	if re.retryAfter > 0 {
+		wait := re.retryAfter.Seconds() * (1 + retryAfterJitter*float64(hash(ca.id)%1000)/1000)
 		header.Set(platform.HeaderRetryAfter, strconv.FormatFloat(wait, 'f', 3, 64))
 	}
 	body := re.reason + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	ca.w.WriteHeader(re.status)
 	if _, err := ca.w.Write([]byte(body)); err != nil {
-		ca.log.Debug("front: caller left before the refusal.", "cause", err.Error())
+		ca.log.Debug("front: caller disconnected before the refusal was sent.", "cause", err.Error())
 	}
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -23,42 +23,43 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// rig is a server for callers in front of emulated endpoints.
+// rig is a front server with emulated endpoints behind it.
 type rig struct {
-	t     *testing.T
-	front *Server
-	hs    *httptest.Server
-	cfg   *catalog.Config
-	log   bytes.Buffer
-	view  catalog.View
-	table *dispatch.Table
-	plain *dispatch.Plain
-	desks []*emulator.Server
-	heads []*emulator.Server
-	// broken and answered are what the server told of.
-	mu       sync.Mutex
-	broken   []BrokenOff
-	answered []quarantine.Fingerprint
+	t            *testing.T
+	front        *Server
+	hs           *httptest.Server
+	cfg          *catalog.Config
+	log          bytes.Buffer
+	view         catalog.View
+	table        *dispatch.Table
+	plain        *dispatch.Plain
+	plainServers []*emulator.Server
+	groupServers []*emulator.Server
+	// disconnects and completions are the events that the server reported.
+	mu          sync.Mutex
+	disconnects []BrokenOff
+	completions []quarantine.Fingerprint
 }
 
-func (ri *rig) answeredWhole(fp quarantine.Fingerprint) {
+func (ri *rig) recordCompletion(fp quarantine.Fingerprint) {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
-	ri.answered = append(ri.answered, fp)
+	ri.completions = append(ri.completions, fp)
 }
 
-// brokenOff takes every endpoint that closes a connection as one that goes on.
-func (ri *rig) brokenOff(bo BrokenOff) <-chan struct{} {
+// recordDisconnect records the event and returns a closed channel, as if the endpoint had been
+// found running.
+func (ri *rig) recordDisconnect(bo BrokenOff) <-chan struct{} {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
-	ri.broken = append(ri.broken, bo)
+	ri.disconnects = append(ri.disconnects, bo)
 	known := make(chan struct{})
 	close(known)
 	return known
 }
 
-// longTimeout outlasts everything that a test does, so that none depends on
-// how fast the machine is.
+// longTimeout exceeds the duration of every test, so that no result depends on the speed of the
+// machine.
 const longTimeout = 30 * time.Second
 
 func newRig(t *testing.T) *rig {
@@ -82,7 +83,7 @@
 	ri.cfg.BuildIndexes()
 	ri.front = &Server{Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(&ri.log, nil)), Table: ri.table, Plain: ri.plain,
 		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnWrong: func() {}, OnLeaving: func(catalog.Instance) {},
-		Quarantine: &quarantine.Ledger{}, OnBrokenOff: ri.brokenOff, OnAnswered: ri.answeredWhole,
+		Quarantine: &quarantine.Ledger{}, OnBrokenOff: ri.recordDisconnect, OnAnswered: ri.recordCompletion,
 		Backpressure: &backpressure.Register{},
 		Pool:         &http1.Pool{Clock: clock.System{}, DialTimeout: longTimeout},
 		Budget:       &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}
@@ -92,18 +93,18 @@
 	return ri
 }
 
-// desk adds a plain endpoint that misbehaves as fault says.
-func (ri *rig) desk(fault func(*http.Request) emulator.Fault) *emulator.Server {
-	sv := ri.start(&emulator.Server{ID: fmt.Sprint("desk-", len(ri.desks)), Service: "desk", Fault: fault})
-	ri.desks = append(ri.desks, sv)
+// addPlain adds a plain endpoint with the given faults.
+func (ri *rig) addPlain(fault func(*http.Request) emulator.Fault) *emulator.Server {
+	sv := ri.start(&emulator.Server{ID: fmt.Sprint("desk-", len(ri.plainServers)), Service: "desk", Fault: fault})
+	ri.plainServers = append(ri.plainServers, sv)
 	ri.update()
 	return sv
 }
 
-// head adds a group of one that streams.
-func (ri *rig) head(fault func(*http.Request) emulator.Fault) *emulator.Server {
-	sv := ri.start(&emulator.Server{ID: fmt.Sprint("head-", len(ri.heads)), Service: "engine", Fault: fault})
-	ri.heads = append(ri.heads, sv)
+// addGroup adds a group with a single streaming member.
+func (ri *rig) addGroup(fault func(*http.Request) emulator.Fault) *emulator.Server {
+	sv := ri.start(&emulator.Server{ID: fmt.Sprint("head-", len(ri.groupServers)), Service: "engine", Fault: fault})
+	ri.groupServers = append(ri.groupServers, sv)
 	ri.update()
 	return sv
 }
@@ -129,7 +130,7 @@
 	ri.plain.Update(&ri.view)
 }
 
-// result is what a caller got.
+// result is the response to a caller, or the error of the request.
 type result struct {
 	status int
 	header http.Header
@@ -137,8 +138,8 @@
 	err    error
 }
 
-// ask sends a request as a caller does.
-func (ri *rig) ask(path, id string, change func(*http.Request)) result {
+// send sends a request as a caller does. change may modify it first.
+func (ri *rig) send(path, id string, change func(*http.Request)) result {
 	ri.t.Helper()
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, ri.hs.URL+path, strings.NewReader("question "+id))
 	if err != nil {
@@ -160,24 +161,24 @@
 	return result{rsp.StatusCode, rsp.Header, string(body), err}
 }
 
-const events = 6
+const numEvents = 6
 
-func streaming(req *http.Request) {
-	req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", events*7))
+func setTokenCounts(req *http.Request) {
+	req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", numEvents*7))
 }
 
-func wholeStream(id string) string {
+func completeStream(id string) string {
 	var all strings.Builder
-	for num := 1; num <= events; num++ {
+	for num := 1; num <= numEvents; num++ {
 		all.WriteString(emulator.Event(id, num))
 	}
 	return all.String()
 }
 
-// runs counts how often any endpoint began to work on a request.
+// runs returns how many times an endpoint started to run a request.
 func (ri *rig) runs(id string) int {
 	num := 0
-	for _, sv := range append(ri.desks, ri.heads...) {
+	for _, sv := range append(ri.plainServers, ri.groupServers...) {
 		for _, ru := range sv.Runs() {
 			if ru.RequestID == id {
 				num++
@@ -187,8 +188,8 @@
 	return num
 }
 
-// first misbehaves towards the first request, and is sound then.
-func first(fault emulator.Fault) func(*http.Request) emulator.Fault {
+// failFirst applies the fault to the first request only.
+func failFirst(fault emulator.Fault) func(*http.Request) emulator.Fault {
 	left := make(chan struct{}, 1)
 	left <- struct{}{}
 	return func(*http.Request) emulator.Fault {
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -11,22 +11,23 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// limitChanges counts the limits that endpoints named, changed or withdrew.
+// limitChanges counts the rate limits that endpoints set, changed or withdrew.
 var limitChanges = metrics.NewCounter("corianderhub_endpoint_limit_changes_total")
 
-// Heard takes in what the head of an answer to a request says of its endpoint. sent is when the
-// request was sent.
+// Heard applies what the header of a response to a request says about its endpoint: rate
+// limit, back-off and shutdown. sent is the time when the request was sent.
 func (sv *Server) Heard(li catalog.Instance, rsp *http.Response, sent time.Time) {
-	// A refusal may be made before the server sees the request, so what it lacks says nothing.
+	// A refusal may be generated before the server itself sees the request, so a missing
+	// limit does not withdraw the current one.
 	if limit, ok := sv.limitOf(li, rsp); ok && (limit.Named || !notRun(rsp)) {
 		sv.setLimit(li, limit, sent)
 	}
-	sv.hearRest(li, rsp, sent)
-	sv.hearLeaving(li, rsp)
+	sv.applyRetryAfter(li, rsp, sent)
+	sv.applyLeaving(li, rsp)
 }
 
-// hearLeaving takes in that the endpoint stops soon.
-func (sv *Server) hearLeaving(li catalog.Instance, rsp *http.Response) {
+// applyLeaving marks the endpoint as leaving if the response says that it stops soon.
+func (sv *Server) applyLeaving(li catalog.Instance, rsp *http.Response) {
 	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.SaysLeaving(rsp.Header) {
 		return
 	}
@@ -35,44 +36,48 @@
 	}
 }
 
-// restCount counts the answers of endpoints that ask for rest.
-var restCount = metrics.NewCounter("corianderhub_endpoint_rests_total")
+// retryAfterCount counts the refusals in which endpoints set a back-off time.
+var retryAfterCount = metrics.NewCounter("corianderhub_endpoint_rests_total")
 
-// hearRest takes in that the endpoint turned a request away, and for how long it wants none.
-func (sv *Server) hearRest(li catalog.Instance, rsp *http.Response, sent time.Time) {
+// applyRetryAfter records that the endpoint accepted the request, or else the back-off time
+// that its refusal requires.
+func (sv *Server) applyRetryAfter(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if !notRun(rsp) {
 		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
 		return
 	}
-	rest, err := platform.RestOf(rsp, sv.Clock.Now())
+	retryAfter, err := platform.RestOf(rsp, sv.Clock.Now())
 	if err != nil {
-		sv.Log.Info("front: answer's head not understood.", "endpoint", li.ID, "cause", err.Error())
+		sv.Log.Info("front: invalid header in response.", "endpoint", li.ID, "cause", err.Error())
 	}
-	if rest > 0 {
-		restCount.Inc()
-		sv.Backpressure.SetRest(li, rest, sv.Clock.Now())
-		sv.Log.Info("front: endpoint asks for rest.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", rest.Milliseconds())
+	if retryAfter > 0 {
+		retryAfterCount.Inc()
+		sv.Backpressure.SetRest(li, retryAfter, sv.Clock.Now())
+		sv.Log.Info("front: endpoint requires back-off.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", retryAfter.Milliseconds())
 	}
 }
 
-// HeardInCall takes in the same of an answer to a call that is no request. Servers need not say
-// there what they say in answers to requests, so what it lacks is not taken as withdrawn.
+// HeardInCall applies the rate limit and the shutdown in the header of a response to a control
+// call, which is not a caller's request. sent is the time when the call was sent. Servers need not
+// send there the headers that they send in responses to requests, so a missing header withdraws
+// nothing.
 func (sv *Server) HeardInCall(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if limit, ok := sv.limitOf(li, rsp); ok && limit.Named {
 		sv.setLimit(li, limit, sent)
 	}
-	sv.hearLeaving(li, rsp)
+	sv.applyLeaving(li, rsp)
 }
 
-// limitOf returns the limit that an answer tells of; false if it tells nothing.
+// limitOf returns the rate limit that a response sets. It returns false if the response says
+// nothing about the endpoint's limit.
 func (sv *Server) limitOf(li catalog.Instance, rsp *http.Response) (backpressure.Limit, bool) {
 	if rsp.StatusCode == http.StatusMisdirectedRequest {
-		// Another endpoint has the address and speaks for itself.
+		// The response is from another endpoint that now has the address.
 		return backpressure.Limit{}, false
 	}
 	limit, err := platform.LimitOf(rsp.Header)
 	if err != nil {
-		sv.Log.Info("front: answer's head not understood.", "endpoint", li.ID, "cause", err.Error())
+		sv.Log.Info("front: invalid header in response.", "endpoint", li.ID, "cause", err.Error())
 		return backpressure.Limit{}, false
 	}
 	return limit, true
@@ -81,6 +86,6 @@
 func (sv *Server) setLimit(li catalog.Instance, limit backpressure.Limit, sent time.Time) {
 	if sv.Backpressure.SetLimit(li, limit, sent, sv.Clock.Now()) {
 		limitChanges.Inc()
-		sv.Log.Info("front: endpoint's limit changed.", "endpoint", li.ID, "named", limit.Named, "per-second", limit.PerSecond)
+		sv.Log.Info("front: endpoint rate limit changed.", "endpoint", li.ID, "named", limit.Named, "per-second", limit.PerSecond)
 	}
 }
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -12,8 +12,8 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// A caller gets the whole answer of the endpoint that ran its request, or is
-// told that it does not, whatever the endpoint does to the answer.
+// The caller receives the complete response of the endpoint that ran its request, or an error,
+// whatever the endpoint does to the response.
 func TestHoldOwnAnswer(t *testing.T) {
 	faults := []struct {
 		name  string
@@ -25,51 +25,51 @@
 	for _, tc := range faults {
 		t.Run(tc.name, func(t *testing.T) {
 			ri := newRig(t)
-			ri.desk(always(tc.fault))
-			ri.desk(first(tc.fault))
+			ri.addPlain(always(tc.fault))
+			ri.addPlain(failFirst(tc.fault))
 			for _, path := range []string{"/confirm/x", "/slot/x"} {
 				id := "id-" + path[1:5]
-				re := ri.ask(path, id, nil)
+				re := ri.send(path, id, nil)
 				if re.err != nil {
-					t.Fatalf("%s: no answer: %v", path, re.err)
+					t.Fatalf("%s: no response: %v", path, re.err)
 				}
 				if re.status == http.StatusOK && (re.body != emulator.Body(id) || !strings.HasSuffix(re.header.Get(platform.HeaderSeal), id)) {
-					t.Errorf("%s: got %q with seal %q", path, re.body, re.header.Get(platform.HeaderSeal))
+					t.Errorf("%s: got body %q with seal %q, want the response to this request", path, re.body, re.header.Get(platform.HeaderSeal))
 				}
 				if tc.fault == emulator.None && re.status != http.StatusOK {
-					t.Errorf("%s: status %d from a sound endpoint", path, re.status)
+					t.Errorf("%s: status %d from a healthy endpoint, want 200", path, re.status)
 				}
 			}
 		})
 	}
 }
 
-// A request that must not repeat is sent again only when an endpoint promised
-// that it has not run and never will. A disbursement is booked once at most.
+// A request that must not be repeated is retried only after an endpoint has stated that it did
+// not run the request and never will. Otherwise a disbursement could be booked twice.
 func TestHoldAtMostOnce(t *testing.T) {
 	for _, fault := range []emulator.Fault{emulator.Foreign, emulator.Truncates, emulator.LosesAnswer, emulator.Fails, emulator.Refuses} {
 		ri := newRig(t)
-		ri.desk(always(fault))
-		ri.desk(always(fault))
-		re := ri.ask("/confirm/x", "booking", nil)
+		ri.addPlain(always(fault))
+		ri.addPlain(always(fault))
+		re := ri.send("/confirm/x", "booking", nil)
 		if num := ri.runs("booking"); num > 1 {
-			t.Errorf("fault %v: the request ran %d times", fault, num)
+			t.Errorf("fault %v: the request ran %d times, want at most once", fault, num)
 		}
 		if fault != emulator.Refuses && re.status != http.StatusBadGateway && re.status != http.StatusInternalServerError {
-			t.Errorf("fault %v: status %d, though it may have run", fault, re.status)
+			t.Errorf("fault %v: status %d, want 500 or 502 because the request may have run", fault, re.status)
 		}
 	}
 	ri := newRig(t)
-	ri.head(always(emulator.Truncates))
-	ri.head(always(emulator.Truncates))
-	ri.ask("/once/x", "stream", streaming)
+	ri.addGroup(always(emulator.Truncates))
+	ri.addGroup(always(emulator.Truncates))
+	ri.send("/once/x", "stream", setTokenCounts)
 	if num := ri.runs("stream"); num > 1 {
-		t.Errorf("a stream that can't be resumed ran %d times", num)
+		t.Errorf("a stream that can't be resumed ran %d times, want at most once", num)
 	}
 }
 
-// 503 promises that the request has not run. It is given only then, and says
-// when to come back.
+// A 503 response guarantees that the request has not run. It is sent only then, with a
+// Retry-After header.
 func TestHoldRefusalNotRun(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -77,14 +77,14 @@
 	}{
 		{"no endpoint", func(*rig) {}},
 		{"endpoints refuse", func(ri *rig) {
-			ri.desk(always(emulator.Refuses))
-			ri.desk(always(emulator.Refuses))
-			ri.head(always(emulator.Refuses))
-			ri.head(always(emulator.Refuses))
+			ri.addPlain(always(emulator.Refuses))
+			ri.addPlain(always(emulator.Refuses))
+			ri.addGroup(always(emulator.Refuses))
+			ri.addGroup(always(emulator.Refuses))
 		}},
 		{"endpoints gone", func(ri *rig) {
-			ri.desk(nil).Stop()
-			ri.head(nil).Stop()
+			ri.addPlain(nil).Stop()
+			ri.addGroup(nil).Stop()
 		}},
 	}
 	for _, tc := range tests {
@@ -92,81 +92,81 @@
 			ri := newRig(t)
 			tc.setup(ri)
 			for _, path := range []string{"/confirm/x", "/slot/x", "/draft/x", "/once/x"} {
-				re := ri.ask(path, "id", streaming)
+				re := ri.send(path, "id", setTokenCounts)
 				if re.status != http.StatusServiceUnavailable || re.header.Get(platform.HeaderRetryAfter) == "" {
-					t.Errorf("%s: status %d, retry after %q", path, re.status, re.header.Get(platform.HeaderRetryAfter))
+					t.Errorf("%s: status %d with Retry-After %q, want 503 with a value", path, re.status, re.header.Get(platform.HeaderRetryAfter))
 				}
 			}
 			if num := ri.runs("id"); num != 0 {
-				t.Errorf("ran %d times though refused", num)
+				t.Errorf("ran %d times although refused with 503, want 0", num)
 			}
 		})
 	}
 }
 
-// An endpoint refuses, another one has room: the caller notices nothing.
-func TestRefusedRequestGoesElsewhere(t *testing.T) {
+// Guards against a refusal that reaches the caller although another endpoint has capacity.
+func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
 	ri := newRig(t)
-	ri.desk(always(emulator.Refuses))
-	ri.desk(nil)
-	ri.head(always(emulator.Refuses))
-	ri.head(nil)
+	ri.addPlain(always(emulator.Refuses))
+	ri.addPlain(nil)
+	ri.addGroup(always(emulator.Refuses))
+	ri.addGroup(nil)
 	for _, path := range []string{"/confirm/x", "/slot/x"} {
-		if re := ri.ask(path, "id"+path, nil); re.status != http.StatusOK {
-			t.Errorf("%s: status %d", path, re.status)
+		if re := ri.send(path, "id"+path, nil); re.status != http.StatusOK {
+			t.Errorf("%s: status %d, want 200", path, re.status)
 		}
 	}
 	for _, path := range []string{"/draft/x", "/once/x"} {
-		if re := ri.ask(path, "id"+path, streaming); re.status != http.StatusOK || re.body != wholeStream("id"+path) {
-			t.Errorf("%s: status %d, %q", path, re.status, re.body)
+		if re := ri.send(path, "id"+path, setTokenCounts); re.status != http.StatusOK || re.body != completeStream("id"+path) {
+			t.Errorf("%s: status %d, body %q, want 200 and the complete stream", path, re.status, re.body)
 		}
 	}
 }
 
-// A stream breaks off within an event. The caller sees neither the part of the
-// event nor a seam: the rest comes from another group, under the first one's
-// head.
+// Guards against a visible break when a stream is truncated within an event. The caller must
+// not receive the partial event: another group resumes the stream, under the response header
+// of the first group.
 func TestStreamIsResumed(t *testing.T) {
 	ri := newRig(t)
-	fault := first(emulator.Truncates)
-	ri.head(fault)
-	ri.head(fault)
-	re := ri.ask("/draft/x", "id", streaming)
-	if re.status != http.StatusOK || re.err != nil || re.body != wholeStream("id") {
-		t.Errorf("status %d, %v, body %q", re.status, re.err, re.body)
+	fault := failFirst(emulator.Truncates)
+	ri.addGroup(fault)
+	ri.addGroup(fault)
+	re := ri.send("/draft/x", "id", setTokenCounts)
+	if re.status != http.StatusOK || re.err != nil || re.body != completeStream("id") {
+		t.Errorf("status %d, error %v, body %q, want 200 and the complete stream", re.status, re.err, re.body)
 	}
 	if num := ri.runs("id"); num != 2 {
 		t.Errorf("ran %d times, want 2", num)
 	}
 }
 
-// A stream breaks off and there is no other group. It must not look whole.
-func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
+// Guards against ending a truncated stream cleanly when no other group can resume it: the caller
+// would take it for complete.
+func TestBrokenStreamDoesNotEndCleanly(t *testing.T) {
 	ri := newRig(t)
-	ri.head(always(emulator.Truncates))
-	re := ri.ask("/once/x", "id", streaming)
+	ri.addGroup(always(emulator.Truncates))
+	re := ri.send("/once/x", "id", setTokenCounts)
 	if re.err == nil {
-		t.Errorf("the broken stream ended like a whole one: %q", re.body)
+		t.Errorf("truncated stream ended without an error: %q", re.body)
 	}
-	if !strings.HasPrefix(wholeStream("id"), re.body) {
-		t.Errorf("body %q is no beginning of the stream", re.body)
+	if !strings.HasPrefix(completeStream("id"), re.body) {
+		t.Errorf("body %q is not a prefix of the stream", re.body)
 	}
 }
 
-// A stream's group stands still, and so does the one where it goes on. It may not be
-// sent to a third one. The caller would lose the rest of its answer if the stream
-// were cut off, for instance while a configuration changes: it waits, and gets the
-// rest when the second group goes on.
-func TestStreamStaysAtItsLastGroup(t *testing.T) {
+// Guards against cutting off a stream that may not be retried any more. Its group stalls, for
+// instance during a configuration change, and so does the group that resumed it; the attempts
+// allow no third one. The stream must wait for the second group and then complete.
+func TestStreamWaitsAtLastAllowedGroup(t *testing.T) {
 	ri := newRig(t)
 	for range 3 {
-		ri.head(always(emulator.Pauses)).Resume = make(chan struct{})
+		ri.addGroup(always(emulator.Pauses)).Resume = make(chan struct{})
 	}
-	answer := make(chan result, 1)
-	go func() { answer <- ri.ask("/draft/x", "id", streaming) }()
-	standing := func(but *emulator.Server) *emulator.Server {
+	results := make(chan result, 1)
+	go func() { results <- ri.send("/draft/x", "id", setTokenCounts) }()
+	stalledServer := func(but *emulator.Server) *emulator.Server {
 		for {
-			for _, sv := range ri.heads {
+			for _, sv := range ri.groupServers {
 				if sv != but && len(sv.Runs()) > 0 {
 					return sv
 				}
@@ -174,25 +174,25 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	first := standing(nil)
+	first := stalledServer(nil)
 	ri.table.Broken("group-"+first.ID, time.Now())
-	second := standing(first)
+	second := stalledServer(first)
 	ri.table.Broken("group-"+second.ID, time.Now())
 	close(second.Resume)
-	if re := <-answer; re.status != http.StatusOK || re.body != wholeStream("id") {
-		t.Errorf("status %d, %v, body %q", re.status, re.err, re.body)
+	if re := <-results; re.status != http.StatusOK || re.body != completeStream("id") {
+		t.Errorf("status %d, error %v, body %q, want 200 and the complete stream", re.status, re.err, re.body)
 	}
 	if num := ri.runs("id"); num != 2 {
 		t.Errorf("ran %d times, want 2", num)
 	}
 }
 
-// A caller resumes a stream itself: it gets what it lacks and nothing twice.
+// Guards against missing or duplicate events when the caller itself resumes a stream.
 func TestCallerResumes(t *testing.T) {
 	ri := newRig(t)
-	ri.head(nil)
-	re := ri.ask("/draft/x", "id", func(req *http.Request) {
-		streaming(req)
+	ri.addGroup(nil)
+	re := ri.send("/draft/x", "id", func(req *http.Request) {
+		setTokenCounts(req)
 		req.Header.Set(platform.HeaderLastEventID, "4")
 	})
 	if want := emulator.Event("id", 5) + emulator.Event("id", 6); re.body != want {
@@ -200,42 +200,43 @@
 	}
 }
 
-// A safe request fails at one endpoint and is answered by the next.
-func TestSafeRequestIsRepeated(t *testing.T) {
+// Guards against passing on the failure of one endpoint when a safe request can be retried at
+// another.
+func TestSafeRequestIsRetried(t *testing.T) {
 	for _, fault := range []emulator.Fault{emulator.Fails, emulator.LosesAnswer, emulator.Truncates, emulator.Foreign} {
 		ri := newRig(t)
-		once := first(fault)
-		ri.desk(once)
-		ri.desk(once)
-		if re := ri.ask("/slot/x", "id", nil); re.status != http.StatusOK || re.body != emulator.Body("id") {
-			t.Errorf("fault %v: status %d, %q", fault, re.status, re.body)
+		once := failFirst(fault)
+		ri.addPlain(once)
+		ri.addPlain(once)
+		if re := ri.send("/slot/x", "id", nil); re.status != http.StatusOK || re.body != emulator.Body("id") {
+			t.Errorf("fault %v: status %d, body %q, want 200 and the complete body", fault, re.status, re.body)
 		}
 	}
 }
 
-// All endpoints fail at once. What is sent again stays within the budget, or
-// the repeats would keep the endpoints down.
-func TestRepeatsStayWithinBudget(t *testing.T) {
+// Guards against retries beyond the budget when all endpoints fail at once. The retries would
+// keep the endpoints overloaded.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	ri := newRig(t)
 	ri.front.Budget.SetSlack(3)
 	ri.front.Budget.Ratio = 0
-	ri.desk(always(emulator.Fails))
-	ri.desk(always(emulator.Fails))
+	ri.addPlain(always(emulator.Fails))
+	ri.addPlain(always(emulator.Fails))
 	const requests = 20
 	for range requests {
-		ri.ask("/slot/x", "id", nil)
+		ri.send("/slot/x", "id", nil)
 	}
 	if num := ri.runs("id"); num > requests+3 {
-		t.Errorf("%d runs of %d requests with a budget of 3", num, requests)
+		t.Errorf("%d runs of %d requests, want at most 3 retries", num, requests)
 	}
 }
 
-// The key stays here; the endpoint gets the workspace's name, whatever the
-// caller claims, and nothing that concerns one connection only.
+// Guards against headers that must not reach the endpoint: the caller's key, forged reserved
+// headers and hop-by-hop headers. The endpoint receives the workspace's name instead of the key.
 func TestHeadersToEndpoint(t *testing.T) {
 	ri := newRig(t)
-	sv := ri.desk(nil)
-	ri.ask("/slot/x?a=b%2fc", "id", func(req *http.Request) {
+	sv := ri.addPlain(nil)
+	ri.send("/slot/x?a=b%2fc", "id", func(req *http.Request) {
 		req.Header.Set(platform.HeaderWorkspace, "forged")
 		req.Header.Set(platform.HeaderExpectEndpoint, "forged")
 		req.Header.Set(platform.HeaderPriority, "0")
@@ -246,23 +247,23 @@
 	})
 	ru := sv.Runs()[0]
 	if ru.URI != "/slot/x?a=b%2fc" || ru.Body != "question id" {
-		t.Errorf("request changed: %+v", ru)
+		t.Errorf("request URI or body changed: %+v", ru)
 	}
 	want := map[string]string{platform.HeaderWorkspace: "nursery", platform.HeaderExpectEndpoint: sv.ID, platform.HeaderPriority: "3",
 		platform.HeaderAuthorization: "", "X-Secret": "", "X-Other": "kept"}
 	for name, val := range want {
 		if got := ru.Header.Get(name); got != val {
-			t.Errorf("%s: %q, want %q", name, got, val)
+			t.Errorf("header %s: %q, want %q", name, got, val)
 		}
 	}
 	if left := ru.Header.Get(platform.HeaderDeadline); left == "" || len(left) > 4 || left > "1500" {
-		t.Errorf("deadline %q handed on of 1500", left)
+		t.Errorf("deadline %q sent to the endpoint, want at most 1500", left)
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestLocallyGeneratedResponses(t *testing.T) {
 	ri := newRig(t)
-	ri.desk(nil)
+	ri.addPlain(nil)
 	ri.cfg.Limits.BodyBytes = 100
 	tests := []struct {
 		name, path string
@@ -284,14 +285,14 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			if re := ri.ask(tc.path, "id", tc.change); re.status != tc.status {
+			if re := ri.send(tc.path, "id", tc.change); re.status != tc.status {
 				t.Errorf("status %d (%v), want %d", re.status, re.err, tc.status)
 			}
 		})
 	}
 	ri.cfg = nil
-	if re := ri.ask("/slot/x", "id", nil); re.status != http.StatusServiceUnavailable {
-		t.Errorf("without a configuration: status %d", re.status)
+	if re := ri.send("/slot/x", "id", nil); re.status != http.StatusServiceUnavailable {
+		t.Errorf("without a configuration: status %d, want 503", re.status)
 	}
 }
 
@@ -299,28 +300,28 @@
 
 func (readCloser) Close() error { return nil }
 
-// An endpoint never answers. The caller hears so at the route's timeout, with
-// a status that promises nothing, and the endpoint sees the connection close.
-func TestTimeoutAnswer(t *testing.T) {
+// Guards against waiting beyond the route's timeout when an endpoint never responds. The caller
+// receives 504, which leaves open whether the request has run.
+func TestTimeoutResponse(t *testing.T) {
 	ri := newRig(t)
 	for i := range ri.cfg.Routes {
 		ri.cfg.Routes[i].Timeout = 100 * time.Millisecond
 	}
-	ri.desk(always(emulator.Hangs))
-	ri.head(always(emulator.Hangs))
+	ri.addPlain(always(emulator.Hangs))
+	ri.addGroup(always(emulator.Hangs))
 	for _, path := range []string{"/confirm/x", "/slot/x", "/draft/x"} {
-		if re := ri.ask(path, "id", streaming); re.status != http.StatusGatewayTimeout {
-			t.Errorf("%s: status %d (%v)", path, re.status, re.err)
+		if re := ri.send(path, "id", setTokenCounts); re.status != http.StatusGatewayTimeout {
+			t.Errorf("%s: status %d (%v), want 504", path, re.status, re.err)
 		}
 	}
 }
 
-// The caller leaves while the endpoint works. The endpoint is told by the end
-// of its connection.
-func TestCallerLeaves(t *testing.T) {
+// Guards against work for a caller that has disconnected: the connection to the endpoint must
+// close too.
+func TestCallerDisconnects(t *testing.T) {
 	ri := newRig(t)
 	arrived, left := make(chan struct{}), make(chan struct{})
-	ri.head(func(req *http.Request) emulator.Fault {
+	ri.addGroup(func(req *http.Request) emulator.Fault {
 		close(arrived)
 		go func() {
 			<-req.Context().Done()
@@ -333,37 +334,37 @@
 		<-arrived
 		cancel()
 	}()
-	ri.ask("/draft/x", "id", func(req *http.Request) {
-		streaming(req)
+	ri.send("/draft/x", "id", func(req *http.Request) {
+		setTokenCounts(req)
 		*req = *req.WithContext(ctx)
 	})
 	<-left
 }
 
-// An endpoint's address has been given to another one. That refuses what is
-// not for it, and the request goes on to an endpoint that is.
+// Guards against running a request at the wrong endpoint after its address was reassigned. The
+// endpoint there refuses the request, and the request is retried at the right one.
 func TestReusedAddress(t *testing.T) {
 	ri := newRig(t)
-	ri.head(nil)
+	ri.addGroup(nil)
 	ri.view.Groups[0].Members[0].ID = "former"
-	ri.head(nil)
-	wrong := make(chan struct{}, 1)
-	ri.front.OnWrong = func() { wrong <- struct{}{} }
-	for len(wrong) == 0 {
-		if re := ri.ask("/draft/x", "id", streaming); re.status != http.StatusOK {
-			t.Fatalf("status %d", re.status)
+	ri.addGroup(nil)
+	misrouted := make(chan struct{}, 1)
+	ri.front.OnWrong = func() { misrouted <- struct{}{} }
+	for len(misrouted) == 0 {
+		if re := ri.send("/draft/x", "id", setTokenCounts); re.status != http.StatusOK {
+			t.Fatalf("status %d, want 200", re.status)
 		}
 	}
-	if num := len(ri.heads[0].Runs()); num != 0 {
-		t.Errorf("%d requests ran at an endpoint that was not meant", num)
+	if num := len(ri.groupServers[0].Runs()); num != 0 {
+		t.Errorf("%d requests ran at the wrong endpoint, want 0", num)
 	}
 }
 
-// A daemon that stops tells its callers to close their connections.
+// Guards against callers that keep using connections to a stopping daemon.
 func TestStoppingClosesConnections(t *testing.T) {
 	ri := newRig(t)
-	ri.desk(nil)
-	ri.head(nil)
+	ri.addPlain(nil)
+	ri.addGroup(nil)
 	ri.front.Stop()
 	hc := &http.Client{Transport: &http.Transport{}}
 	for _, path := range []string{"/slot/x", "/draft/x"} {
@@ -375,22 +376,22 @@
 		req.Header.Set(platform.HeaderRequestID, "id")
 		req.Header.Set(platform.HeaderAuthorization, "Token key-1")
 		req.Header.Set(platform.HeaderModel, "large")
-		streaming(req)
+		setTokenCounts(req)
 		rsp, err := hc.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rsp.Body.Close()
 		if !rsp.Close {
-			t.Errorf("%s: the answer does not end its connection", path)
+			t.Errorf("%s: the response does not close its connection", path)
 		}
 	}
 }
 
-// Many daemons share what connections an endpoint accepts. All of them together
-// keep less than a third idle.
+// Guards against idle connections of many daemons that use up an endpoint's connection limit.
+// All daemons together may use less than a third of it.
 func TestMaxIdleIsShared(t *testing.T) {
-	tests := []struct{ accepts, daemons, want int }{
+	tests := []struct{ maxConns, daemons, want int }{
 		{0, 9, 0},
 		{414, 9, 13},
 		{110, 9, 3},
@@ -400,8 +401,8 @@
 		{110, 0, 33},
 	}
 	for _, tc := range tests {
-		if got := maxIdle(tc.accepts, tc.daemons); got != tc.want {
-			t.Errorf("%d connections, %d daemons: %d, want %d", tc.accepts, tc.daemons, got, tc.want)
+		if got := maxIdle(tc.maxConns, tc.daemons); got != tc.want {
+			t.Errorf("limit of %d connections, %d daemons: %d idle, want %d", tc.maxConns, tc.daemons, got, tc.want)
 		}
 	}
 }
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -12,72 +12,72 @@
 )
 
 const (
-	// limitWindow is the span in which what an endpoint with a limit gets is counted.
+	// limitWindow is the time window in which requests to a limited endpoint are counted.
 	limitWindow = 4 * time.Second
-	// limitRatio and limitSlack bound that: so many times the limit, and so many requests.
+	// limitRatio and limitSlack define the allowed number of requests in a window:
+	// limitRatio times the limit plus limitSlack.
 	limitRatio = 1.5
 	limitSlack = 5
 )
 
-// withinLimit checks what a server got after a moment against the limit that it names.
-func withinLimit(t *testing.T, sv *emulator.Server, perSecond float64, after time.Time) {
+// checkLimit checks the requests that a server received after a time against its rate limit.
+func checkLimit(t *testing.T, sv *emulator.Server, perSecond float64, after time.Time) {
 	t.Helper()
 	allowed := limitRatio*perSecond*limitWindow.Seconds() + limitSlack
 	if num := sv.Busiest(limitWindow, after); float64(num) > allowed {
-		t.Errorf("%s got %d requests in %s, allowed %.0f", sv.ID, num, limitWindow, allowed)
+		t.Errorf("%s received %d requests in %s, want at most %.0f", sv.ID, num, limitWindow, allowed)
 	}
 }
 
-// Guards against a limit in an answer's head that nobody reads: the endpoint is sent requests
-// as before, on streams and on plain routes.
-func TestLimitIsKept(t *testing.T) {
+// Guards against ignoring the rate limit in a response header, on streaming and plain routes.
+func TestLimitIsEnforced(t *testing.T) {
 	const requests, perSecond = 60, 1.5
 	for _, path := range []string{"/draft/x", "/confirm/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			ri := newRig(t)
 			for range 2 {
-				ri.desk(nil)
-				ri.head(nil)
+				ri.addPlain(nil)
+				ri.addGroup(nil)
 			}
-			for _, sv := range []*emulator.Server{ri.desks[0], ri.heads[0]} {
+			for _, sv := range []*emulator.Server{ri.plainServers[0], ri.groupServers[0]} {
 				sv.SetNeed(emulator.Need{Limit: fmt.Sprint(perSecond)})
 			}
 			begin := time.Now()
 			for num := range requests {
-				if re := ri.ask(path, fmt.Sprint("id-", num), streaming); re.status != http.StatusOK {
-					t.Fatalf("request %d: status %d, though another endpoint takes it", num, re.status)
+				if re := ri.send(path, fmt.Sprint("id-", num), setTokenCounts); re.status != http.StatusOK {
+					t.Fatalf("request %d: status %d, want 200 from the other endpoint", num, re.status)
 				}
 			}
-			for _, sv := range []*emulator.Server{ri.desks[0], ri.heads[0]} {
-				withinLimit(t, sv, perSecond, begin)
+			for _, sv := range []*emulator.Server{ri.plainServers[0], ri.groupServers[0]} {
+				checkLimit(t, sv, perSecond, begin)
 			}
 		})
 	}
 }
 
-// Guards against a limit that is kept after the endpoint has withdrawn it.
-func TestLimitEnds(t *testing.T) {
+// Guards against enforcing a limit after the endpoint has withdrawn it.
+func TestLimitIsWithdrawn(t *testing.T) {
 	ri := newRig(t)
-	ri.desk(nil)
-	ri.desks[0].SetNeed(emulator.Need{Limit: "1000"})
-	ri.ask("/slot/x", "limited", nil)
+	ri.addPlain(nil)
+	ri.plainServers[0].SetNeed(emulator.Need{Limit: "1000"})
+	ri.send("/slot/x", "limited", nil)
 	if num := ri.front.Backpressure.NumLimited(); num != 1 {
-		t.Fatalf("%d endpoints with a limit", num)
+		t.Fatalf("%d endpoints with a limit, want 1", num)
 	}
-	ri.desks[0].SetNeed(emulator.Need{})
+	ri.plainServers[0].SetNeed(emulator.Need{})
 	for end := time.Now().Add(longTimeout); ri.front.Backpressure.NumLimited() > 0; time.Sleep(5 * time.Millisecond) {
-		ri.ask("/slot/x", "free", nil)
+		ri.send("/slot/x", "free", nil)
 		if time.Now().After(end) {
-			t.Fatal("the limit is kept")
+			t.Fatal("the limit is still set after the endpoint withdrew it")
 		}
 	}
 }
 
-// Guards against a refusal that names no limit, as one made before the server itself sees the
-// request, and against another server's answer, which say nothing of the endpoint's limit.
-func TestLimitOutlastsRefusals(t *testing.T) {
+// Guards against dropping a limit because of responses that say nothing about it: a refusal
+// generated before the server itself sees the request, and a response of another server.
+func TestLimitSurvivesRefusals(t *testing.T) {
 	li := catalog.Instance{ID: "desk-0"}
-	answer := func(status int, header http.Header) *http.Response {
+	newResponse := func(status int, header http.Header) *http.Response {
 		return &http.Response{StatusCode: status, Header: header}
 	}
 	tests := []struct {
@@ -85,15 +85,15 @@
 		rsp  *http.Response
 		want int
 	}{
-		{"answered", answer(http.StatusOK, http.Header{}), 0},
-		{"failed", answer(http.StatusInternalServerError, http.Header{}), 0},
-		{"refused", answer(http.StatusServiceUnavailable, http.Header{platform.HeaderNotRun: {"1"}}), 1},
-		{"another server's", answer(http.StatusMisdirectedRequest, http.Header{}), 1},
+		{"answered", newResponse(http.StatusOK, http.Header{}), 0},
+		{"failed", newResponse(http.StatusInternalServerError, http.Header{}), 0},
+		{"refused", newResponse(http.StatusServiceUnavailable, http.Header{platform.HeaderNotRun: {"1"}}), 1},
+		{"another server's", newResponse(http.StatusMisdirectedRequest, http.Header{}), 1},
 	}
 	for _, tc := range tests {
 		ri := newRig(t)
 		now := time.Now()
-		ri.front.Heard(li, answer(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
+		ri.front.Heard(li, newResponse(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
 		ri.front.Heard(li, tc.rsp, time.Now())
 		if num := ri.front.Backpressure.NumLimited(); num != tc.want {
 			t.Errorf("%s: %d endpoints with a limit, want %d", tc.name, num, tc.want)
--- a/internal/front/metrics.go
+++ b/internal/front/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// count counts a request's end by the kind of its route and the outcome. Names
-// of routes are not used, since there may be thousands.
+// count records the outcome and the duration of a request. The label is the kind of the route,
+// not its name, since there may be thousands of routes.
 func (ca *call) count(outcome string) {
 	kind := "none"
 	if ca.route != nil {
@@ -14,10 +14,10 @@
 }
 
 var (
-	firstEvents   = metrics.NewHistogram("corianderhub_first_event_seconds")
-	predictErrors = metrics.NewHistogram("corianderhub_first_event_error_seconds")
-	pauses        = metrics.NewHistogram("corianderhub_event_pause_seconds")
-	resumed       = metrics.NewCounter("corianderhub_stream_resumes_total")
-	lateHolds     = metrics.NewHistogram("corianderhub_late_hold_seconds")
-	sendCount     = metrics.NewCounter("corianderhub_sends_total")
+	firstEventTimes  = metrics.NewHistogram("corianderhub_first_event_seconds")
+	predictionErrors = metrics.NewHistogram("corianderhub_first_event_error_seconds")
+	eventPauses      = metrics.NewHistogram("corianderhub_event_pause_seconds")
+	streamResumes    = metrics.NewCounter("corianderhub_stream_resumes_total")
+	lateDelays       = metrics.NewHistogram("corianderhub_late_hold_seconds")
+	sendCount        = metrics.NewCounter("corianderhub_sends_total")
 )
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is read whole before it is passed on.
-	maxAnswer = 8 << 20
-	// tryObjectives is how many times its objective an idempotent request
-	// waits for one endpoint before another is asked.
-	tryObjectives = 2
-	// againBusy is when endpoints that are full should have room: some three
-	// times the work of a request.
-	againBusy = 100 * time.Millisecond
+	// maxResponseBytes bounds a response that is buffered before it is forwarded.
+	maxResponseBytes = 8 << 20
+	// attemptObjectives is the timeout of one attempt of an idempotent request, as a
+	// multiple of the route's objective. Another endpoint is tried after it.
+	attemptObjectives = 2
+	// retryAfterBusy is the shortest retry delay when all endpoints are full. It is
+	// about three times the duration of a request.
+	retryAfterBusy = 100 * time.Millisecond
 )
 
-// answer is an endpoint's answer, read whole.
-type answer struct {
+// response is an endpoint's complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 	notRun bool
 }
 
-// plainCall is a request whose answer is read whole before any of it is passed
-// on, so that a broken one can be asked for again or be told apart.
+// plainCall is a request whose response is read completely before any of it is forwarded. A
+// failed attempt can then be retried or reported.
 type plainCall struct {
 	*call
 	tried []*dispatch.PlainEndpoint
-	// last is the last answer that was read, unless an attempt failed since.
-	last *answer
+	// last is the last response that was read.
+	last *response
 	err  error
-	// state is what is known of the request over all attempts.
+	// state is the verdict over all attempts.
 	state verdict.Verdict
-	// heldFor is for how long the request is quarantined; 0 when it is not.
-	heldFor time.Duration
+	// quarantinedFor is the remaining time of the request's quarantine; 0 if there is none.
+	quarantinedFor time.Duration
 }
 
 // plain handles a request on a route that is not streaming.
@@ -51,20 +51,19 @@
 	defer cancel()
 	pc := &plainCall{call: ca, state: verdict.NotRun}
 	for ca.sends < ca.route.MaxAttempts && ctx.Err() == nil {
-		if left, held := ca.quarantined(); held {
-			pc.heldFor = left
+		if left, quarantined := ca.quarantined(); quarantined {
+			pc.quarantinedFor = left
 			break
 		}
 		ep := pc.next()
-		if ep == nil || pc.take(ca.try(ctx, ep)) {
+		if ep == nil || pc.recordAttempt(ca.attemptPlain(ctx, ep)) {
 			break
 		}
 	}
 	pc.finish()
 }
 
-// next returns the endpoint to send to, or nil if there is none left or the
-// budget for repeats is used up.
+// next returns the endpoint to send to, or nil if none is left or the retry budget is spent.
 func (pc *plainCall) next() *dispatch.PlainEndpoint {
 	now := pc.sv.Clock.Now()
 	ep := pc.sv.Plain.Pick(pc.service, pc.tried, now)
@@ -80,8 +79,8 @@
 	return ep
 }
 
-// take notes what came of an attempt and tells whether it was the last one.
-func (pc *plainCall) take(an *answer, err error) bool {
+// recordAttempt records the result of an attempt and reports whether it was the last one.
+func (pc *plainCall) recordAttempt(an *response, err error) bool {
 	pc.err = err
 	if err != nil {
 		if http1.VerdictOf(err) == verdict.NotRun {
@@ -96,107 +95,108 @@
 	}
 	pc.state = verdict.Ran
 	if an.status < http.StatusMultipleChoices {
-		pc.outlived()
+		pc.reportCompletion()
 	}
 	return an.status < http.StatusInternalServerError || !pc.route.Idempotent()
 }
 
-// try sends the request to one endpoint.
-func (ca *call) try(ctx context.Context, ep *dispatch.PlainEndpoint) (*answer, error) {
+// attemptPlain sends the request to one endpoint and reads the response. Its errors are
+// *http1.Error.
+func (ca *call) attemptPlain(ctx context.Context, ep *dispatch.PlainEndpoint) (*response, error) {
 	if ca.route.Idempotent() && ca.sends+1 < ca.route.MaxAttempts && ca.route.Objective > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, tryObjectives*ca.route.Objective)
+		ctx, cancel = context.WithTimeout(ctx, attemptObjectives*ca.route.Objective)
 		defer cancel()
 	}
 	begin := ca.sv.Clock.Now()
-	// Reuse of connections is left to what may be repeated: an endpoint may
-	// close an idle connection just as a request is on its way, and whether it
-	// has read it is then unknown.
-	ex, err := ca.sv.Pool.Send(ctx, ep.Address, ca.outgoing(ep.ID, !ca.route.Idempotent()))
+	// Only idempotent requests reuse connections: an endpoint may close an idle connection
+	// while a request is being sent, and whether it read the request is then unknown.
+	ex, err := ca.sv.Pool.Send(ctx, ep.Address, ca.endpointRequest(ep.ID, !ca.route.Idempotent()))
 	if http1.VerdictOf(err) != verdict.NotRun || err == nil {
 		ca.sends++
 		sendCount.Inc()
 	}
 	if err != nil {
-		ca.tryFailed(ctx, ep, err)
+		ca.plainAttemptFailed(ctx, ep, err)
 		return nil, err
 	}
 	defer ex.Close()
 	ca.sv.Heard(ep.Instance(), ex.Response, begin)
-	body, err := ex.ReadAll(maxAnswer)
+	body, err := ex.ReadAll(maxResponseBytes)
 	if err != nil {
 		err = &http1.Error{Verdict: verdict.MayHaveRun, Err: err}
-		ca.tryFailed(ctx, ep, err)
+		ca.plainAttemptFailed(ctx, ep, err)
 		return nil, err
 	}
-	an := &answer{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
+	an := &response{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	now := ca.sv.Clock.Now()
 	ca.sv.Plain.Answered(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
 	if an.status == http.StatusMisdirectedRequest {
 		ca.sv.OnWrong()
 	}
-	ca.log.Debug("front: tried.", "endpoint", ep.ID, "status", an.status, "not-run", an.notRun)
+	ca.log.Debug("front: endpoint responded.", "endpoint", ep.ID, "status", an.status, "not-run", an.notRun)
 	return an, nil
 }
 
-func (ca *call) tryFailed(ctx context.Context, ep *dispatch.PlainEndpoint, err error) {
+func (ca *call) plainAttemptFailed(ctx context.Context, ep *dispatch.PlainEndpoint, err error) {
 	if ca.req.Context().Err() != nil {
 		ca.sv.Plain.Dropped(ep)
 		return
 	}
 	ca.sv.Plain.Failed(ep, ca.sv.Clock.Now())
-	ca.brokenOff(ctx, ep.ID, ep.Address, err)
+	ca.reportDisconnect(ctx, ep.ID, ep.Address, err)
 	ca.log.Info("front: attempt failed.", "endpoint", ep.ID, "cause", err.Error())
 }
 
-// finish gives the caller the last answer, or says what is known.
+// finish forwards the last response, or else sends an error that states what is known.
 func (pc *plainCall) finish() {
 	switch {
 	case pc.last != nil && !pc.last.notRun && (pc.err == nil || pc.route.Idempotent()):
-		pc.pass(pc.last)
-	case pc.state == verdict.NotRun && pc.heldFor > 0:
-		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, again: pc.heldFor})
+		pc.writeResponse(pc.last)
+	case pc.state == verdict.NotRun && pc.quarantinedFor > 0:
+		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: pc.quarantinedFor})
 	case pc.state == verdict.NotRun && len(pc.tried) == 0:
 		pc.refuse(pc.noEndpoint())
 	case pc.state == verdict.NotRun:
-		again := max(againBusy, pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()))
-		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoints-refused", again: again, cause: pc.err})
-	case pc.left() <= 0:
+		retryAfter := max(retryAfterBusy, pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()))
+		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoints-refused", retryAfter: retryAfter, cause: pc.err})
+	case pc.remaining() <= 0:
 		pc.refuse(refusal{status: http.StatusGatewayTimeout, reason: "timeout", cause: pc.err})
 	default:
 		pc.refuse(refusal{status: http.StatusBadGateway, reason: "answer-lost", cause: pc.err})
 	}
 }
 
-// noEndpoint is the refusal of a request that no endpoint takes.
+// noEndpoint returns the refusal of a request for which no endpoint is available.
 func (pc *plainCall) noEndpoint() refusal {
-	re := refusal{status: http.StatusServiceUnavailable, reason: "no-endpoint", again: againNoEndpoint}
-	if again := pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()); again > 0 {
-		re.reason, re.again = reasonClosed, again
+	re := refusal{status: http.StatusServiceUnavailable, reason: "no-endpoint", retryAfter: retryAfterNoEndpoint}
+	if retryAfter := pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()); retryAfter > 0 {
+		re.reason, re.retryAfter = reasonClosed, retryAfter
 	}
 	return re
 }
 
-// reasonClosed is that of a refusal because all endpoints said that they take no more for now.
+// reasonClosed is the reason of a refusal when no endpoint accepts requests for now, because of
+// back-off or rate limits.
 const reasonClosed = "endpoints-closed"
 
-// againNoEndpoint is when an endpoint may have registered.
-const againNoEndpoint = time.Second
+// retryAfterNoEndpoint allows time for an endpoint to register.
+const retryAfterNoEndpoint = time.Second
 
-// pass gives the caller an endpoint's answer unchanged.
-func (ca *call) pass(an *answer) {
+// writeResponse forwards an endpoint's response unchanged.
+func (ca *call) writeResponse(an *response) {
 	header := ca.w.Header()
-	keep := slices.Clone(header["Connection"])
+	connection := slices.Clone(header["Connection"])
 	copyHeaders(header, an.header)
-	if keep != nil {
-		header["Connection"] = keep
+	if connection != nil {
+		header["Connection"] = connection
 	}
 	if ca.req.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.Itoa(len(an.body)))
 	}
 	ca.w.WriteHeader(an.status)
 	if _, err := ca.w.Write(an.body); err != nil {
-		ca.log.Debug("front: caller left before the answer.", "cause", err.Error())
+		ca.log.Debug("front: caller disconnected before the response was sent.", "cause", err.Error())
 	}
 	ca.log.Info("front: answered.", "outcome", "passed", "status", an.status, "sends", ca.sends,
 		"ms", ca.sv.Clock.Now().Sub(ca.arrived).Milliseconds())
--- a/internal/front/quarantine_test.go
+++ b/internal/front/quarantine_test.go
@@ -10,99 +10,101 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// content is the fingerprint of what ri.ask sends with that path and identifier.
-func content(path, id string) quarantine.Fingerprint {
+// fingerprintOf returns the fingerprint of the request that rig.send sends.
+func fingerprintOf(path, id string) quarantine.Fingerprint {
 	co := quarantine.Content{Method: http.MethodPost, Host: "some.example", URI: path, Caller: "nursery", Body: []byte("question " + id)}
 	return co.Fingerprint()
 }
 
-// hold quarantines a request, as if servers had ended under it.
-func (ri *rig) hold(fp quarantine.Fingerprint) {
+// quarantineRequest quarantines a request, as if servers had crashed on it.
+func (ri *rig) quarantineRequest(fp quarantine.Fingerprint) {
 	ri.front.Quarantine.Merge([]quarantine.Entry{{Request: fp, Since: time.Now()}}, time.Now())
 }
 
-// Servers ended under a request, and its caller sends it again. It must reach none, and the
-// caller must be told at once that it has not run and when it may come again. All others
-// are served.
+// Guards against sending a quarantined request to another server when its caller retries it. The
+// caller must be refused at once, with a 503 that says it has not run and when to retry. Other
+// requests are served.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	for _, path := range []string{"/draft/x", "/once/x", "/confirm/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			ri := newRig(t)
-			ri.desk(nil)
-			ri.head(nil)
-			ri.hold(content(path, "crash"))
-			re := ri.ask(path, "crash", streaming)
+			ri.addPlain(nil)
+			ri.addGroup(nil)
+			ri.quarantineRequest(fingerprintOf(path, "crash"))
+			re := ri.send(path, "crash", setTokenCounts)
 			if re.status != http.StatusServiceUnavailable || re.header.Get(platform.HeaderRetryAfter) == "" {
-				t.Errorf("status %d, to come again %q", re.status, re.header.Get(platform.HeaderRetryAfter))
+				t.Errorf("status %d with Retry-After %q, want 503 with a value", re.status, re.header.Get(platform.HeaderRetryAfter))
 			}
 			if num := ri.runs("crash"); num != 0 {
-				t.Errorf("ran %d times", num)
+				t.Errorf("ran %d times, want 0", num)
 			}
-			if re := ri.ask(path, "sound", streaming); re.status != http.StatusOK {
-				t.Errorf("another request: status %d", re.status)
+			if re := ri.send(path, "sound", setTokenCounts); re.status != http.StatusOK {
+				t.Errorf("another request: status %d, want 200", re.status)
 			}
 		})
 	}
 }
 
-// A server ends under a request, and it is the third. The attempt that found that out must
-// not go on at another server, and must not say that the request has not run.
+// Guards against retrying a request that is quarantined during its own attempt, because one more
+// server crashes on it. It must not be sent to another server, and the response must not claim
+// that it has not run.
 func TestQuarantinedDuringAttempt(t *testing.T) {
 	for _, path := range []string{"/draft/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			ri := newRig(t)
-			fp := content(path, "crash")
+			fp := fingerprintOf(path, "crash")
 			ri.front.Quarantine.Ended(quarantine.End{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
 			ri.front.OnBrokenOff = func(bo BrokenOff) <-chan struct{} {
 				known := make(chan struct{})
 				time.AfterFunc(50*time.Millisecond, func() {
-					ri.hold(bo.Request)
+					ri.quarantineRequest(bo.Request)
 					close(known)
 				})
 				return known
 			}
 			for range 2 {
-				ri.desk(always(emulator.LosesAnswer))
-				ri.head(always(emulator.LosesAnswer))
+				ri.addPlain(always(emulator.LosesAnswer))
+				ri.addGroup(always(emulator.LosesAnswer))
 			}
-			re := ri.ask(path, "crash", streaming)
+			re := ri.send(path, "crash", setTokenCounts)
 			if num := ri.runs("crash"); num != 1 {
-				t.Errorf("ran %d times", num)
+				t.Errorf("ran %d times, want 1", num)
 			}
 			if re.status != http.StatusBadGateway {
-				t.Errorf("status %d, though it ran", re.status)
+				t.Errorf("status %d, want 502 because the request ran", re.status)
 			}
 		})
 	}
 }
 
-// A request was at a server that ended for another reason. Once it is answered whole, that
-// is told: it must not add up over time with other ends that it has no part in.
-func TestAnswerIsTold(t *testing.T) {
+// Guards against counting unrelated crashes against a request. A server crashed for another
+// reason while it ran the request. The later completion must be reported, or the request would
+// collect such crashes over time until it is quarantined.
+func TestCompletionIsReported(t *testing.T) {
 	for _, path := range []string{"/draft/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			ri := newRig(t)
-			ri.desk(nil)
-			ri.head(nil)
-			ri.ask(path, "sound", streaming)
-			if num := len(ri.answered); num != 0 {
-				t.Errorf("%d answers told of requests that nothing is known of", num)
+			ri.addPlain(nil)
+			ri.addGroup(nil)
+			ri.send(path, "sound", setTokenCounts)
+			if num := len(ri.completions); num != 0 {
+				t.Errorf("%d completions reported of a request without crashes, want 0", num)
 			}
-			fp := content(path, "sound")
+			fp := fingerprintOf(path, "sound")
 			ri.front.Quarantine.Ended(quarantine.End{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
-			ri.ask(path, "sound", streaming)
+			ri.send(path, "sound", setTokenCounts)
 			ri.mu.Lock()
 			defer ri.mu.Unlock()
-			if len(ri.answered) != 1 || ri.answered[0] != fp {
-				t.Errorf("told of %v", ri.answered)
+			if len(ri.completions) != 1 || ri.completions[0] != fp {
+				t.Errorf("reported completions %v, want only this request", ri.completions)
 			}
 		})
 	}
 }
 
-// A connection that an endpoint closes may mean its end; one that the caller or a time-out
-// ended does not.
-func TestBrokenOffIsTold(t *testing.T) {
+// Guards against wrong reports of disconnects. A connection that the endpoint closes may mean a
+// crash; one that ends with a complete response, by the caller or by a timeout does not.
+func TestDisconnectIsReported(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault emulator.Fault
@@ -112,22 +114,22 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			ri := newRig(t)
-			ri.head(always(tc.fault))
-			ri.desk(always(tc.fault))
+			ri.addGroup(always(tc.fault))
+			ri.addPlain(always(tc.fault))
 			for _, path := range []string{"/once/x", "/confirm/x"} {
-				before := ri.numBroken()
-				ri.ask(path, "id", streaming)
-				if got := ri.numBroken() > before; got != tc.want {
-					t.Errorf("%s: told %v, want %v", path, got, tc.want)
+				before := ri.numDisconnects()
+				ri.send(path, "id", setTokenCounts)
+				if got := ri.numDisconnects() > before; got != tc.want {
+					t.Errorf("%s: disconnect reported: %v, want %v", path, got, tc.want)
 				}
 			}
 		})
 	}
 }
 
-// numBroken is how often the server told of an endpoint that closed a connection.
-func (ri *rig) numBroken() int {
+// numDisconnects returns the number of disconnects that the server has reported.
+func (ri *rig) numDisconnects() int {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
-	return len(ri.broken)
+	return len(ri.disconnects)
 }
--- a/internal/front/resolve.go
+++ b/internal/front/resolve.go
@@ -8,17 +8,17 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// Directory tells callers which addresses to use.
+// Directory serves the addresses of the daemons that callers may connect to.
 type Directory struct {
 	Log *slog.Logger
-	// Addresses returns the daemons that take requests, for a caller in that
-	// data centre.
+	// Addresses returns the addresses of the daemons that accept requests, for a caller in
+	// the data centre.
 	Addresses func(dataCenter string) []string
-	// TTLSeconds is how long callers may keep an answer.
+	// TTLSeconds is how long callers may cache a response.
 	TTLSeconds float64
 }
 
-// ServeHTTP answers a caller that asks where to connect.
+// ServeHTTP returns the daemons' addresses as JSON.
 func (di *Directory) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != platform.PathResolve {
 		http.NotFound(w, req)
@@ -27,12 +27,12 @@
 	_, dataCenter := platform.ResolveQuery(req)
 	body, err := json.Marshal(platform.ResolveAnswer{Addresses: di.Addresses(dataCenter), TTLSeconds: di.TTLSeconds})
 	if err != nil {
-		di.Log.Error("directory: answer not encoded.", "cause", err.Error())
+		di.Log.Error("directory: encoding the response failed.", "cause", err.Error())
 		http.Error(w, "internal error", http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if _, err := w.Write(body); err != nil {
-		di.Log.Debug("directory: caller left.", "cause", err.Error())
+		di.Log.Debug("directory: caller disconnected before the response was sent.", "cause", err.Error())
 	}
 }
--- a/internal/front/rest_test.go
+++ b/internal/front/rest_test.go
@@ -12,95 +12,96 @@
 )
 
 const (
-	// restLearnt is how long after a refusal requests may still arrive that were on their way.
-	restLearnt = 500 * time.Millisecond
-	// restSlack is how many may reach the endpoint after that until the rest is over.
-	restSlack = 2
+	// inFlightGrace is how long after the first arrival requests may still arrive that were
+	// already in flight.
+	inFlightGrace = 500 * time.Millisecond
+	// backOffSlack is the number of requests that may arrive later during the back-off.
+	backOffSlack = 2
 )
 
-// duringRest counts the requests that reached a server within its first rest, but for those on
-// their way when it began.
-func duringRest(sv *emulator.Server, rest time.Duration) int {
+// numDuringBackOff returns the number of requests that a server received during its first
+// back-off, except those in flight when it began.
+func numDuringBackOff(sv *emulator.Server, backOff time.Duration) int {
 	num := 0
 	arrivals := sv.Arrivals()
 	for _, ar := range arrivals {
-		if since := ar.At.Sub(arrivals[0].At); since > restLearnt && since < rest {
+		if since := ar.At.Sub(arrivals[0].At); since > inFlightGrace && since < backOff {
 			num++
 		}
 	}
 	return num
 }
 
-// Guards against an endpoint that is sent request after request although it has asked this
-// daemon for rest: each is refused, and the retry budget runs out.
-func TestRestIsKept(t *testing.T) {
-	const requests, rest = 40, 30 * time.Second
+// Guards against sending requests to an endpoint during its back-off. Each would be refused, and
+// the retries would spend the retry budget.
+func TestRetryAfterIsHonored(t *testing.T) {
+	const requests, backOff = 40, 30 * time.Second
 	for _, path := range []string{"/draft/x", "/confirm/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
 			ri := newRig(t)
 			for range 2 {
-				ri.desk(nil)
-				ri.head(nil)
+				ri.addPlain(nil)
+				ri.addGroup(nil)
 			}
-			shedding := []*emulator.Server{ri.desks[0], ri.heads[0]}
+			shedding := []*emulator.Server{ri.plainServers[0], ri.groupServers[0]}
 			for _, sv := range shedding {
-				sv.SetNeed(emulator.Need{Sheds: true, Rest: strconv.Itoa(int(rest.Seconds()))})
+				sv.SetNeed(emulator.Need{Sheds: true, Rest: strconv.Itoa(int(backOff.Seconds()))})
 			}
 			for num := range requests {
-				if re := ri.ask(path, fmt.Sprint("id-", num), streaming); re.status != http.StatusOK {
-					t.Errorf("request %d: status %d, though another endpoint takes it", num, re.status)
+				if re := ri.send(path, fmt.Sprint("id-", num), setTokenCounts); re.status != http.StatusOK {
+					t.Errorf("request %d: status %d, want 200 from the other endpoint", num, re.status)
 				}
-				time.Sleep(restLearnt * 3 / requests)
+				time.Sleep(inFlightGrace * 3 / requests)
 			}
 			for _, sv := range shedding {
-				if num := duringRest(sv, rest); num > restSlack {
-					t.Errorf("%s got %d requests in its rest", sv.ID, num)
+				if num := numDuringBackOff(sv, backOff); num > backOffSlack {
+					t.Errorf("%s received %d requests during its back-off", sv.ID, num)
 				}
 			}
 		})
 	}
 }
 
-// Guards against callers who wait, or come again in vain, while all endpoints rest: they are
-// refused at once and told when the first rest ends, and are served then.
-func TestAllEndpointsRest(t *testing.T) {
+// Guards against callers that wait or retry in vain while all endpoints back off. They must be
+// refused at once, with the time when the first back-off ends, and be served after it.
+func TestAllEndpointsBackOff(t *testing.T) {
 	for _, path := range []string{"/draft/x", "/confirm/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
 			ri := newRig(t)
 			for num := range 2 {
-				rest := strconv.Itoa(2 + 30*num)
-				ri.desk(nil).SetNeed(emulator.Need{Sheds: true, Rest: rest})
-				ri.head(nil).SetNeed(emulator.Need{Sheds: true, Rest: rest})
+				backOff := strconv.Itoa(2 + 30*num)
+				ri.addPlain(nil).SetNeed(emulator.Need{Sheds: true, Rest: backOff})
+				ri.addGroup(nil).SetNeed(emulator.Need{Sheds: true, Rest: backOff})
 			}
-			re := ri.ask(path, "first", streaming)
-			if again, _ := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64); again < 1 {
-				t.Errorf("who found out is told to come again after %.1f s", again)
+			re := ri.send(path, "first", setTokenCounts)
+			if retryAfter, _ := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64); retryAfter < 1 {
+				t.Errorf("first refused caller: Retry-After %.1f s, want at least 1", retryAfter)
 			}
-			num := len(ri.desks[0].Arrivals()) + len(ri.heads[0].Arrivals())
-			re = ri.ask(path, "next", streaming)
-			if got := len(ri.desks[0].Arrivals()) + len(ri.heads[0].Arrivals()); got != num {
-				t.Errorf("%d requests reached an endpoint that rests", got-num)
+			num := len(ri.plainServers[0].Arrivals()) + len(ri.groupServers[0].Arrivals())
+			re = ri.send(path, "next", setTokenCounts)
+			if got := len(ri.plainServers[0].Arrivals()) + len(ri.groupServers[0].Arrivals()); got != num {
+				t.Errorf("%d requests reached an endpoint during its back-off, want 0", got-num)
 			}
-			again, err := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64)
-			if re.status != http.StatusServiceUnavailable || err != nil || again < 1 || again > 2*(1+againSpread) {
-				t.Fatalf("status %d, to come again %q", re.status, re.header.Get(platform.HeaderRetryAfter))
+			retryAfter, err := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64)
+			if re.status != http.StatusServiceUnavailable || err != nil || retryAfter < 1 || retryAfter > 2*(1+retryAfterJitter) {
+				t.Fatalf("status %d with Retry-After %q, want 503 with the end of the first back-off", re.status, re.header.Get(platform.HeaderRetryAfter))
 			}
-			for _, sv := range append(ri.desks, ri.heads...) {
+			for _, sv := range append(ri.plainServers, ri.groupServers...) {
 				sv.SetNeed(emulator.Need{})
 			}
-			time.Sleep(time.Duration(again * float64(time.Second)))
-			if re := ri.ask(path, "returned", streaming); re.status != http.StatusOK {
-				t.Errorf("status %d when it was told to come again", re.status)
+			time.Sleep(time.Duration(retryAfter * float64(time.Second)))
+			if re := ri.send(path, "returned", setTokenCounts); re.status != http.StatusOK {
+				t.Errorf("status %d for a retry after the Retry-After time, want 200", re.status)
 			}
 		})
 	}
 }
 
-// triesWithin is how many requests an endpoint may get in a time that refuses all: two, and one
-// after each pause from 50 ms on that doubles up to 1.6 s.
-func triesWithin(span time.Duration) int {
+// maxAttemptsWithin returns how many requests an endpoint that refuses all may receive in a time
+// span: two, and one after each pause. The pauses start at 50 ms and double up to 1.6 s.
+func maxAttemptsWithin(span time.Duration) int {
 	tries := 2
 	for pause := 50 * time.Millisecond; span >= pause; pause = min(2*pause, 1600*time.Millisecond) {
 		span -= pause
@@ -109,38 +110,39 @@
 	return tries
 }
 
-// Guards against an endpoint that turns away all it gets without asking for rest: it runs nothing,
-// so that it looks empty and would get most requests, and the retry budget runs out.
-func TestRefusingEndpointIsLeftOut(t *testing.T) {
+// Guards against preferring an endpoint that refuses every request without a back-off time. It
+// runs nothing and so looks idle: it would receive most requests, and the retry budget would be
+// spent.
+func TestRefusingEndpointIsAvoided(t *testing.T) {
 	const requests, span = 60, 1500 * time.Millisecond
 	for _, path := range []string{"/draft/x", "/confirm/x", "/slot/x"} {
 		t.Run(path, func(t *testing.T) {
 			t.Parallel()
 			ri := newRig(t)
 			for _, fault := range []emulator.Fault{emulator.Refuses, emulator.None} {
-				ri.desk(always(fault))
-				ri.head(always(fault))
+				ri.addPlain(always(fault))
+				ri.addGroup(always(fault))
 			}
 			begin := time.Now()
 			for num := range requests {
-				if re := ri.ask(path, fmt.Sprint("id-", num), streaming); re.status != http.StatusOK {
-					t.Errorf("request %d: status %d, though another endpoint takes it", num, re.status)
+				if re := ri.send(path, fmt.Sprint("id-", num), setTokenCounts); re.status != http.StatusOK {
+					t.Errorf("request %d: status %d, want 200 from the other endpoint", num, re.status)
 				}
 				time.Sleep(span / requests)
 			}
-			most := triesWithin(time.Since(begin))
-			for _, sv := range []*emulator.Server{ri.desks[0], ri.heads[0]} {
+			most := maxAttemptsWithin(time.Since(begin))
+			for _, sv := range []*emulator.Server{ri.plainServers[0], ri.groupServers[0]} {
 				if num := len(sv.Arrivals()); num > most {
-					t.Errorf("%s got %d requests, want %d at most", sv.ID, num, most)
+					t.Errorf("%s received %d requests, want at most %d", sv.ID, num, most)
 				}
 			}
-			ri.desks[0].SetFault(nil)
-			ri.heads[0].SetFault(nil)
-			before := len(ri.desks[0].Runs()) + len(ri.heads[0].Runs())
-			for end := time.Now().Add(longTimeout); len(ri.desks[0].Runs())+len(ri.heads[0].Runs()) == before; time.Sleep(20 * time.Millisecond) {
-				ri.ask(path, "later", streaming)
+			ri.plainServers[0].SetFault(nil)
+			ri.groupServers[0].SetFault(nil)
+			before := len(ri.plainServers[0].Runs()) + len(ri.groupServers[0].Runs())
+			for end := time.Now().Add(longTimeout); len(ri.plainServers[0].Runs())+len(ri.groupServers[0].Runs()) == before; time.Sleep(20 * time.Millisecond) {
+				ri.send(path, "later", setTokenCounts)
 				if time.Now().After(end) {
-					t.Fatal("it is left out although it takes requests again")
+					t.Fatal("the endpoints receive no requests although they accept them again")
 				}
 			}
 		})
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,6 +1,6 @@
-// Package front serves callers: it finds a request's route, chooses where to
-// send it, and passes the answer on whole or says truthfully what is known of
-// it.
+// Package front handles the requests of callers. It finds the route of a request, chooses an
+// endpoint or a group, and forwards the complete response. When it can't, it sends an error
+// that states whether the request may have run.
 package front
 
 import (
@@ -23,60 +23,63 @@
 )
 
 const (
-	// defaultBody bounds a request's body where the operators set no limit.
-	defaultBody = 4 << 20
-	// bodyPatience bounds the reading of a body in parts of the route's timeout.
-	bodyPatience = 2
+	// defaultMaxBodyBytes bounds a request body if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// bodyTimeoutFactor sets the timeout for reading a request body, as a multiple of the
+	// request's timeout.
+	bodyTimeoutFactor = 2
 )
 
 // Server handles the callers' requests. Set the exported fields before use.
 type Server struct {
-	Clock  clock.Clock
-	Log    *slog.Logger
+	Clock clock.Clock
+	Log   *slog.Logger
+	// Config returns the current configuration, or nil if there is none yet.
 	Config func() *catalog.Config
-	// Stale tells whether the configuration is too old to accept keys by.
-	Stale  func() bool
-	Table  *dispatch.Table
-	Plain  *dispatch.Plain
-	Pool   *http1.Pool
+	// Stale reports whether the configuration is too old to check keys against.
+	Stale func() bool
+	Table *dispatch.Table
+	Plain *dispatch.Plain
+	Pool  *http1.Pool
+	// Budget bounds the retries for each service.
 	Budget *dispatch.Budget
-	// Backpressure holds what endpoints say of how much they take.
+	// Backpressure holds the rate limits, back-off times and announced shutdowns of endpoints.
 	Backpressure *backpressure.Register
-	// OnWrong is called when an endpoint says that it is not the one expected.
+	// OnWrong is called when an endpoint refuses a request that was meant for another one.
 	OnWrong func()
-	// OnLeaving is called when an endpoint has said in an answer that it stops soon.
+	// OnLeaving is called when an endpoint has announced its shutdown in a response.
 	OnLeaving func(catalog.Instance)
-	// Quarantine knows which requests end the servers that run them.
+	// Quarantine records the requests that server processes have crashed on.
 	Quarantine *quarantine.Ledger
 	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
-	// What it returns is closed once it is known whether the endpoint has ended.
+	// The returned channel is closed once it is known whether the endpoint has crashed.
 	OnBrokenOff func(BrokenOff) <-chan struct{}
-	// OnAnswered is called when a request was answered whole under which endpoints have
-	// ended.
+	// OnAnswered is called when a request that endpoints have crashed on was completed.
 	OnAnswered func(quarantine.Fingerprint)
 
 	stopping atomic.Bool
 	daemons  atomic.Int64
-	working  atomic.Int64
-	served   atomic.Int64
+	inFlight atomic.Int64
+	received atomic.Int64
 	waits    dispatch.Waits
-	// firstAt is when the first request came without a configuration, in Unix nanoseconds.
-	firstAt atomic.Int64
+	// firstUnconfigured is when the first request arrived without a configuration, in Unix
+	// nanoseconds.
+	firstUnconfigured atomic.Int64
 }
 
-// Stop makes the server tell callers to close their connections.
+// Stop makes the server ask callers to close their connections, by the header of each response.
 func (sv *Server) Stop() { sv.stopping.Store(true) }
 
-// SetDaemons tells how many daemons share the endpoints' connections.
+// SetDaemons sets the number of daemons that share the endpoints' connection limits.
 func (sv *Server) SetDaemons(num int) { sv.daemons.Store(int64(num)) }
 
-// Working returns the number of requests being handled.
-func (sv *Server) Working() int64 { return sv.working.Load() }
+// Working returns the number of requests in flight.
+func (sv *Server) Working() int64 { return sv.inFlight.Load() }
 
-// Served returns the number of requests so far.
-func (sv *Server) Served() int64 { return sv.served.Load() }
+// Served returns the number of requests received since the start, including those in flight.
+func (sv *Server) Served() int64 { return sv.received.Load() }
 
-// call is one request of a caller on its way.
+// call is one request of a caller.
 type call struct {
 	sv      *Server
 	w       http.ResponseWriter
@@ -85,16 +88,17 @@
 	route   *catalog.Route
 	service string
 	body    []byte
-	// content tells the request apart from others, and not from its other attempts.
-	content quarantine.Fingerprint
-	// arrived is when the request was read; deadline is when the caller must
-	// have an answer.
+	// fingerprint identifies the request by its content. It is the same for all attempts of
+	// a caller.
+	fingerprint quarantine.Fingerprint
+	// arrived is when the request was received; deadline is when the caller must have a
+	// response.
 	arrived, deadline time.Time
-	// waited is how long the caller had waited before, since its first attempt.
+	// waited is how long the caller had already waited since its first attempt.
 	waited    time.Duration
 	workspace *catalog.Workspace
-	keyed     bool
-	// maxIdle bounds the idle connections kept to an endpoint of the service.
+	needsKey  bool
+	// maxIdle bounds the idle connections to an endpoint of the service.
 	maxIdle int
 	// sends counts the endpoints that the request was sent to.
 	sends int
@@ -103,9 +107,9 @@
 
 // ServeHTTP handles one request.
 func (sv *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	sv.working.Add(1)
-	defer sv.working.Add(-1)
-	sv.served.Add(1)
+	sv.inFlight.Add(1)
+	defer sv.inFlight.Add(-1)
+	sv.received.Add(1)
 	if sv.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -116,8 +120,8 @@
 		return
 	}
 	sv.Budget.Earn(ca.service, ca.arrived)
-	if left, held := ca.quarantined(); held {
-		ca.refuse(refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, again: left})
+	if left, quarantined := ca.quarantined(); quarantined {
+		ca.refuse(refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: left})
 		return
 	}
 	if ca.route.Kind == catalog.Streaming {
@@ -127,14 +131,14 @@
 	ca.plain()
 }
 
-// admit finds the route and the workspace and reads the body. It returns why
-// the request can't be handled.
+// admit finds the route and the workspace and reads the body. It returns a refusal if the
+// request can't be handled, and nil otherwise.
 func (ca *call) admit(cfg *catalog.Config) *refusal {
 	if cfg == nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no-configuration", again: againStarting}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: retryAfterStarting}
 	}
 	if ca.sv.Stale() {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "configuration-too-old", again: againStarting}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "configuration-too-old", retryAfter: retryAfterStarting}
 	}
 	ca.route = cfg.Route(ca.req.Host, path(ca.req))
 	if ca.route == nil {
@@ -145,14 +149,14 @@
 	}
 	ca.service = pickService(ca.route, ca.id)
 	ca.maxIdle = maxIdle(cfg.Services[ca.service].MaxConns, int(ca.sv.daemons.Load()))
-	ca.deadline = ca.arrived.Add(ca.allowed())
-	if patience, ok := ca.patience(); ok {
-		ca.waited = ca.sv.waits.Before(ca.route.Host+ca.route.Prefix, patience, ca.route.Timeout)
+	ca.deadline = ca.arrived.Add(ca.timeout())
+	if timeout, ok := ca.callerTimeout(); ok {
+		ca.waited = ca.sv.waits.Before(ca.route.Host+ca.route.Prefix, timeout, ca.route.Timeout)
 	}
 	return ca.readBody(cfg)
 }
 
-// path is the path as the caller sent it.
+// path returns the escaped path as sent by the caller.
 func path(req *http.Request) string {
 	if strings.HasPrefix(req.RequestURI, "/") {
 		pa, _, _ := strings.Cut(req.RequestURI, "?")
@@ -162,8 +166,8 @@
 }
 
 func (ca *call) authorize(cfg *catalog.Config) *refusal {
-	ca.keyed = cfg.NeedsKeys()
-	if !ca.keyed {
+	ca.needsKey = cfg.NeedsKeys()
+	if !ca.needsKey {
 		return nil
 	}
 	key, _ := platform.Key(ca.req.Header)
@@ -174,11 +178,11 @@
 	return nil
 }
 
-// allowed is how long the caller may be kept waiting: by the route, or by the
-// caller's own deadline if that is shorter.
-func (ca *call) allowed() time.Duration {
+// timeout returns the longest time until the response: the route's timeout, or the caller's own
+// if that is shorter.
+func (ca *call) timeout() time.Duration {
 	limit := ca.route.Timeout
-	if own, ok := ca.patience(); ok && (own < limit || limit <= 0) {
+	if own, ok := ca.callerTimeout(); ok && (own < limit || limit <= 0) {
 		return own
 	}
 	if limit <= 0 {
@@ -187,26 +191,26 @@
 	return limit
 }
 
-// patience is how long the caller says that it will wait.
-func (ca *call) patience() (time.Duration, bool) {
+// callerTimeout returns how long the caller says it will wait, and false if it doesn't say.
+func (ca *call) callerTimeout() (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(ca.req.Header.Get(platform.HeaderDeadline), 64)
 	return time.Duration(ms * float64(time.Millisecond)), err == nil
 }
 
-// defaultTimeout holds where neither the route nor the caller sets a limit.
+// defaultTimeout applies if neither the route nor the caller sets a timeout.
 const defaultTimeout = 30 * time.Second
 
 func (ca *call) readBody(cfg *catalog.Config) *refusal {
 	limit := cfg.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if ca.req.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
 	}
 	rc := http.NewResponseController(ca.w)
-	// A body that never arrives must not hold the connection for ever.
-	_ = rc.SetReadDeadline(time.Now().Add(bodyPatience * ca.allowed()))
+	// The deadline keeps a body that never arrives from blocking the connection forever.
+	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeoutFactor * ca.timeout()))
 	body, err := io.ReadAll(http.MaxBytesReader(ca.w, ca.req.Body, limit))
 	_ = rc.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -217,12 +221,12 @@
 		return &refusal{status: http.StatusBadRequest, reason: "body-not-read", cause: err}
 	}
 	ca.body = body
-	ca.knowContent()
+	ca.computeFingerprint()
 	return nil
 }
 
-// pickService chooses among a route's services by weight. The request's
-// identifier decides, so that it is the same wherever the request is handled.
+// pickService chooses one of a route's services by weight. The choice depends only on the
+// request ID, so every daemon makes the same one.
 func pickService(ro *catalog.Route, id string) string {
 	total := 0
 	for _, be := range ro.Backends {
@@ -241,5 +245,5 @@
 	return ro.Backends[0].Service
 }
 
-// left is the time until the caller must have an answer.
-func (ca *call) left() time.Duration { return ca.deadline.Sub(ca.sv.Clock.Now()) }
+// remaining returns the time until the caller must have a response.
+func (ca *call) remaining() time.Duration { return ca.deadline.Sub(ca.sv.Clock.Now()) }
--- a/internal/front/start.go
+++ b/internal/front/start.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// startWait is how long after its first request a daemon that has just started holds
-	// requests back until it knows its configuration. A refused caller comes back later
-	// than that, and is late then.
-	startWait = 700 * time.Millisecond
-	// startPause is the time between looks for the configuration.
-	startPause = 10 * time.Millisecond
+	// configTimeout bounds how long a daemon that has just started delays requests until it
+	// has a configuration, counted from the first request. A refused caller would retry
+	// later than that and miss its objective.
+	configTimeout = 700 * time.Millisecond
+	// configPollInterval is the interval at which the configuration is polled.
+	configPollInterval = 10 * time.Millisecond
 )
 
-// awaitConfig returns the configuration in force; nil if there is none in time.
+// awaitConfig returns the current configuration, or nil if there is none within the timeout.
 func (sv *Server) awaitConfig(ctx context.Context) *catalog.Config {
 	if cfg := sv.Config(); cfg != nil {
 		return cfg
 	}
 	now := sv.Clock.Now()
-	sv.firstAt.CompareAndSwap(0, now.UnixNano())
-	until := time.Unix(0, sv.firstAt.Load()).Add(startWait)
+	sv.firstUnconfigured.CompareAndSwap(0, now.UnixNano())
+	until := time.Unix(0, sv.firstUnconfigured.Load()).Add(configTimeout)
 	for sv.Clock.Now().Before(until) {
-		if sv.Clock.Sleep(ctx, startPause) != nil {
+		if sv.Clock.Sleep(ctx, configPollInterval) != nil {
 			return nil
 		}
 		if cfg := sv.Config(); cfg != nil {
--- a/internal/front/start_test.go
+++ b/internal/front/start_test.go
@@ -10,38 +10,38 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// Guards against refusing what comes while a daemon that has just started reads its
-// configuration: after a loss of all daemons every caller would have to come back.
+// Guards against refusing requests while a daemon that has just started reads its configuration.
+// After a loss of all daemons, every caller would have to retry.
 func TestRequestsWaitForConfiguration(t *testing.T) {
 	ri := newRig(t)
-	ri.desk(nil)
+	ri.addPlain(nil)
 	ri.front.Clock = clock.NewManual(time.Now())
-	var looks atomic.Int64
+	var polls atomic.Int64
 	ri.front.Config = func() *catalog.Config {
-		if looks.Add(1) < 4 {
+		if polls.Add(1) < 4 {
 			return nil
 		}
 		return ri.cfg
 	}
-	if got := ri.ask("/slot/", "r1", nil).status; got != http.StatusOK {
-		t.Errorf("status %d", got)
+	if got := ri.send("/slot/", "r1", nil).status; got != http.StatusOK {
+		t.Errorf("status %d, want 200", got)
 	}
 }
 
-// Guards against holding back every request of a daemon that can't read its configuration.
-func TestRequestsDoNotWaitForConfigurationAlways(t *testing.T) {
+// Guards against delaying every request when a daemon can't read its configuration.
+func TestWaitForConfigurationIsBounded(t *testing.T) {
 	mc := clock.NewManual(time.Unix(1000, 0))
 	sv := &Server{Clock: mc, Config: func() *catalog.Config {
-		mc.Advance(startPause)
+		mc.Advance(configPollInterval)
 		return nil
 	}}
-	for _, most := range []time.Duration{2 * startWait, 2 * startPause} {
+	for _, maxWait := range []time.Duration{2 * configTimeout, 2 * configPollInterval} {
 		begin := mc.Now()
 		if sv.awaitConfig(t.Context()) != nil {
-			t.Fatal("a configuration out of nowhere")
+			t.Fatal("got a configuration, want nil")
 		}
-		if took := mc.Now().Sub(begin); took > most {
-			t.Errorf("waited for %v, want at most %v", took, most)
+		if took := mc.Now().Sub(begin); took > maxWait {
+			t.Errorf("waited for %v, want at most %v", took, maxWait)
 		}
 	}
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// callerDelay is what the objective loses on the way to and from a caller,
-	// and by events that are passed on late.
+	// callerDelay is the part of the objective that is lost on the network between caller
+	// and daemon and by forwarding events late.
 	callerDelay = 12 * time.Millisecond
-	// goOnPause is the time between looks for a group to go on at, and
-	// goOnWait bounds it: callers give a stream up after a gap of 2 s.
-	goOnPause = 25 * time.Millisecond
-	goOnWait  = 1500 * time.Millisecond
-	// lateWait is the longest predicted wait for a first event that is late.
-	lateWait = 1500 * time.Millisecond
-	// lateAgain is the time between looks for a group for a late request that was held back.
-	lateAgain = 100 * time.Millisecond
-	// writePatience bounds the wait for a caller that doesn't read.
-	writePatience = 5 * time.Second
+	// resumePollInterval is the interval at which a group to resume a stream is looked for,
+	// and resumeTimeout bounds the search. Callers abort a stream after a gap of 2 s.
+	resumePollInterval = 25 * time.Millisecond
+	resumeTimeout      = 1500 * time.Millisecond
+	// maxLateWait is the longest predicted wait for a first event that misses its objective.
+	maxLateWait = 1500 * time.Millisecond
+	// latePollInterval is the interval at which a group is looked for after a late request
+	// was delayed.
+	latePollInterval = 100 * time.Millisecond
+	// writeTimeout bounds a write to a caller that doesn't read.
+	writeTimeout = 5 * time.Second
 )
 
-// stream is a request that is answered by events.
+// stream is a request whose response is an event stream.
 type stream struct {
 	*call
 	model  string
 	prompt int64
 	tried  []*dispatch.Group
-	// started is set once the caller has the head of the answer.
+	// started is set once the response header was sent to the caller.
 	started bool
-	// passed counts events, and lastID is the last one's identifier.
-	passed int
+	// events counts the forwarded events, and lastID is the ID of the last one.
+	events int
 	lastID int64
 	hasID  bool
 	lastAt time.Time
-	// first is when the caller got the first event after its request, pause the
-	// longest time between two; choice is the last group with what was predicted.
-	first, pause time.Duration
-	choice       dispatch.Choice
-	state        verdict.Verdict
-	// final is an answer without events, to be passed on as it is.
-	final *answer
+	// firstEvent is the time from the request to its first event, maxPause the longest time
+	// between two events. choice is the last chosen group with its prediction.
+	firstEvent, maxPause time.Duration
+	choice               dispatch.Choice
+	state                verdict.Verdict
+	// final is a response without events, to be forwarded unchanged.
+	final *response
 	cause error
 }
 
@@ -65,14 +66,15 @@
 		if done {
 			return
 		}
-		if !st.mayGoOn(ctx) {
-			st.giveUp(ctx, ch)
+		if !st.mayRetry(ctx) {
+			st.endUnretried(ctx, ch)
 			return
 		}
 	}
 }
 
-// promptTokens returns the tokens to read, the first of two numbers.
+// promptTokens returns the number of prompt tokens, the first number of the header with the
+// token counts. It returns 0 if that is missing or invalid.
 func promptTokens(counts string) int64 {
 	first, _, _ := strings.Cut(counts, ",")
 	num, err := strconv.ParseInt(strings.TrimSpace(first), 10, 64)
@@ -82,30 +84,30 @@
 	return num
 }
 
-// attempt sends the request to one group and passes its events on. It tells
-// whether the caller has a final answer.
+// attempt sends the request to one group and forwards its events. It reports whether the request
+// is finished.
 func (st *stream) attempt(ctx context.Context) (dispatch.Choice, bool) {
-	if st.endQuarantined() {
+	if st.endIfQuarantined() {
 		return dispatch.Choice{}, true
 	}
 	part, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	leave := cancel
-	if !st.maySendAfter() {
-		leave = stay
+	onStall := cancel
+	if !st.mayRetryAfterNext() {
+		onStall = ignoreStall
 	}
-	ch, ti := st.pick(part, leave)
+	ch, ti := st.pick(part, onStall)
 	if ti == nil {
-		st.noGroup(ch)
+		st.endNoGroup(ch)
 		return ch, true
 	}
 	defer ti.End()
-	if st.endQuarantined() {
+	if st.endIfQuarantined() {
 		return ch, true
 	}
 	if st.sends > 0 && !st.sv.Budget.Spend(st.service, st.sv.Clock.Now()) {
 		st.log.Info("front: not sent again.", "reason", "retry-budget")
-		st.giveUp(ctx, ch)
+		st.endUnretried(ctx, ch)
 		return ch, true
 	}
 	st.tried = append(st.tried, ch.Group)
@@ -113,7 +115,7 @@
 	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.First.Milliseconds(), "fits", ch.Fits)
 	sent := st.sv.Clock.Now()
 	head := ch.Group.Head()
-	ex, err := st.sv.Pool.Send(part, head.Address, st.request(head.ID))
+	ex, err := st.sv.Pool.Send(part, head.Address, st.groupRequest(head.ID))
 	if err == nil || http1.VerdictOf(err) != verdict.NotRun {
 		st.sends++
 		sendCount.Inc()
@@ -122,13 +124,13 @@
 		if part.Err() == nil && http1.ConnectFailed(err) {
 			st.sv.Table.Unreachable(ch.Group)
 		}
-		st.failed(part, ch.Group, err, http1.VerdictOf(err))
+		st.attemptFailed(part, ch.Group, err, http1.VerdictOf(err))
 		return ch, false
 	}
 	defer ex.Close()
 	st.sv.Heard(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
-		return ch, st.other(part, ch, ex, sent)
+		return ch, st.handleNonStream(part, ch, ex, sent)
 	}
 	st.state = verdict.Ran
 	err = st.relay(ex, ti, sent, ch.First)
@@ -136,45 +138,47 @@
 		st.finish()
 		return ch, true
 	}
-	st.failed(part, ch.Group, err, verdict.Ran)
+	st.attemptFailed(part, ch.Group, err, verdict.Ran)
 	return ch, false
 }
 
-// endQuarantined ends the request if it is to be sent to no server, and tells whether it did.
-// That may be learnt while it waits for a group to go on at.
-func (st *stream) endQuarantined() bool {
-	left, held := st.quarantined()
-	if held {
+// endIfQuarantined ends the request if it is quarantined, and reports whether it did. The
+// quarantine may begin while the request waits for a group.
+func (st *stream) endIfQuarantined() bool {
+	left, quarantined := st.quarantined()
+	if quarantined {
 		st.end(reasonQuarantined, left)
 	}
-	return held
+	return quarantined
 }
 
-// maySendAfter tells whether the request may be sent to another group after the
-// next one.
-func (st *stream) maySendAfter() bool {
-	return st.route.Idempotent() && st.sends+1 < st.route.MaxAttempts && len(st.tried)+1 < maxTried
+// mayRetryAfterNext reports whether the request may be sent to another group if the next attempt
+// fails.
+func (st *stream) mayRetryAfterNext() bool {
+	return st.route.Idempotent() && st.sends+1 < st.route.MaxAttempts && len(st.tried)+1 < maxGroupsTried
 }
 
-// stay keeps a request at a group that stands still: there is no other for it, and
-// the group may go on. Its caller gives it up, or the group breaks it off.
-func stay(error) {}
+// ignoreStall keeps a request at a stalled group. No other group may be tried, and this one may
+// recover. The request ends when the caller disconnects, at the deadline or when the group
+// closes the connection.
+func ignoreStall(error) {}
 
-// request is the caller's, or one for what the caller lacks still.
-func (st *stream) request(endpoint string) *http1.Request {
-	rq := st.outgoing(endpoint, !st.route.Idempotent())
+// groupRequest returns the request to a group. For a resumed stream it asks only for the events
+// that the caller has not received.
+func (st *stream) groupRequest(endpoint string) *http1.Request {
+	rq := st.endpointRequest(endpoint, !st.route.Idempotent())
 	if st.hasID {
 		rq.Header.Set(platform.HeaderLastEventID, strconv.FormatInt(st.lastID, 10))
 	}
 	return rq
 }
 
-// pick chooses a group. A stream that has begun waits a little for one, and so does a late
-// request that had to be held back.
+// pick chooses a group. It waits for one if the stream is to be resumed, or if the request is
+// late and was delayed.
 func (st *stream) pick(ctx context.Context, cancel context.CancelCauseFunc) (dispatch.Choice, *dispatch.Ticket) {
-	pause, until := goOnPause, st.sv.Clock.Now().Add(goOnWait)
+	pause, until := resumePollInterval, st.sv.Clock.Now().Add(resumeTimeout)
 	if !st.started {
-		pause, until = lateAgain, st.holdLate(ctx)
+		pause, until = latePollInterval, st.delayLate(ctx)
 	}
 	for {
 		now := st.sv.Clock.Now()
@@ -187,41 +191,41 @@
 	}
 }
 
-// need is what the request asks of a group now.
+// need returns the current requirements of the request.
 func (st *stream) need(now time.Time) dispatch.Need {
 	ne := dispatch.Need{Service: st.service, Model: st.model, Prompt: st.prompt, Pause: st.route.PauseObjective,
-		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, Wait: min(lateWait, st.left()), Begun: st.started, Except: st.tried}
+		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, Wait: min(maxLateWait, st.remaining()), Begun: st.started, Except: st.tried}
 	if st.started {
-		// The caller has the first event: what counts now is a short gap.
+		// The caller already has the first event, so the objective is now a short gap.
 		ne.Objective = st.route.PauseObjective
 	}
 	return ne
 }
 
-// holdLate holds a request back that is late in any case, while too many such come. It
-// returns until when the request may wait for a group, or zero if it was not held back.
-func (st *stream) holdLate(ctx context.Context) time.Time {
+// delayLate delays a request that will miss its objective anyway, while there are too many such
+// requests. It returns until when the request may wait for a group, or zero if it was not
+// delayed.
+func (st *stream) delayLate(ctx context.Context) time.Time {
 	now := st.sv.Clock.Now()
 	if st.sends > 0 {
 		return time.Time{}
 	}
-	ho := st.sv.Table.HoldLate(st.need(now), st.left(), now)
+	ho := st.sv.Table.HoldLate(st.need(now), st.remaining(), now)
 	if ho.For <= 0 {
 		return time.Time{}
 	}
-	lateHolds.Update(ho.For.Seconds())
-	_ = st.sv.Clock.Sleep(ctx, ho.For) // The next look at ctx ends the request.
+	lateDelays.Update(ho.For.Seconds())
+	_ = st.sv.Clock.Sleep(ctx, ho.For) // If ctx is canceled, its next use ends the request.
 	return now.Add(ho.Most)
 }
 
-// relay passes events on as they come. It returns nil at the end of a whole
-// stream.
+// relay forwards events as they arrive. It returns nil at the end of a complete stream.
 func (st *stream) relay(ex *http1.Exchange, ti *dispatch.Ticket, sent time.Time, predicted time.Duration) error {
 	er := newEventReader(ex)
 	for first := true; ; first = false {
 		event, err := er.next()
 		if err == io.EOF {
-			return st.begin(ex.Response.Header)
+			return st.writeHeader(ex.Response.Header)
 		}
 		if err != nil {
 			return err
@@ -229,39 +233,39 @@
 		now := st.sv.Clock.Now()
 		ti.Event(now)
 		if first {
-			predictErrors.Update((now.Sub(sent) - predicted).Abs().Seconds())
+			predictionErrors.Update((now.Sub(sent) - predicted).Abs().Seconds())
 		}
-		if err := st.pass(ex.Response.Header, event, now); err != nil {
+		if err := st.writeEvent(ex.Response.Header, event, now); err != nil {
 			return err
 		}
 	}
 }
 
-// pass gives the caller one event, unless it has it already.
-func (st *stream) pass(header http.Header, event []byte, now time.Time) error {
+// writeEvent forwards one event, unless the caller already has it.
+func (st *stream) writeEvent(header http.Header, event []byte, now time.Time) error {
 	id, ok := eventID(event)
 	if ok && st.hasID && id <= st.lastID {
 		return nil
 	}
-	if err := st.begin(header); err != nil {
+	if err := st.writeHeader(header); err != nil {
 		return err
 	}
-	if st.passed == 0 {
-		st.first = now.Sub(st.arrived)
-		firstEvents.Update(st.first.Seconds())
+	if st.events == 0 {
+		st.firstEvent = now.Sub(st.arrived)
+		firstEventTimes.Update(st.firstEvent.Seconds())
 	} else {
-		st.pause = max(st.pause, now.Sub(st.lastAt))
-		pauses.Update(now.Sub(st.lastAt).Seconds())
+		st.maxPause = max(st.maxPause, now.Sub(st.lastAt))
+		eventPauses.Update(now.Sub(st.lastAt).Seconds())
 	}
 	rc := http.NewResponseController(st.w)
-	_ = rc.SetWriteDeadline(time.Now().Add(writePatience))
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := st.w.Write(event); err != nil {
 		return errCallerGone
 	}
 	if err := rc.Flush(); err != nil {
 		return errCallerGone
 	}
-	st.passed++
+	st.events++
 	st.lastAt = now
 	if ok {
 		st.lastID, st.hasID = id, true
@@ -269,47 +273,48 @@
 	return nil
 }
 
-var errCallerGone = errors.New("front: the caller is gone")
+var errCallerGone = errors.New("front: caller disconnected")
 
-// begin gives the caller the head of the first group's answer, once.
-func (st *stream) begin(header http.Header) error {
+// writeHeader sends the header of the first group's response, once.
+func (st *stream) writeHeader(header http.Header) error {
 	if st.started {
 		return nil
 	}
 	st.started = true
-	stop := st.w.Header().Get("Connection")
+	connection := st.w.Header().Get("Connection")
 	copyHeaders(st.w.Header(), header)
-	if stop != "" {
-		st.w.Header().Set("Connection", stop)
+	if connection != "" {
+		st.w.Header().Set("Connection", connection)
 	}
 	st.w.WriteHeader(http.StatusOK)
 	return nil
 }
 
 func (st *stream) finish() {
-	st.outlived()
-	st.sv.Table.Answered(st.choice.Group, st.passed, st.sv.Clock.Now())
-	st.log.Info("front: answered.", "outcome", "whole", "status", http.StatusOK, "sends", st.sends, "events", st.passed,
-		"group", st.choice.Group.Name, "first-ms", st.first.Milliseconds(), "predicted-ms", st.choice.First.Milliseconds(),
-		"fits", st.choice.Fits, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.pause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
+	st.reportCompletion()
+	st.sv.Table.Answered(st.choice.Group, st.events, st.sv.Clock.Now())
+	st.log.Info("front: answered.", "outcome", "whole", "status", http.StatusOK, "sends", st.sends, "events", st.events,
+		"group", st.choice.Group.Name, "first-ms", st.firstEvent.Milliseconds(), "predicted-ms", st.choice.First.Milliseconds(),
+		"fits", st.choice.Fits, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.maxPause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
 	st.count("passed-2xx")
 }
 
-// other handles an answer that is no stream: a refusal, or an error.
-func (st *stream) other(ctx context.Context, ch dispatch.Choice, ex *http1.Exchange, sent time.Time) bool {
+// handleNonStream handles a response that is not a stream: a refusal or an error. It reports
+// whether the request is finished.
+func (st *stream) handleNonStream(ctx context.Context, ch dispatch.Choice, ex *http1.Exchange, sent time.Time) bool {
 	gr := ch.Group
-	body, err := ex.ReadAll(maxAnswer)
+	body, err := ex.ReadAll(maxResponseBytes)
 	if err != nil {
-		st.failed(ctx, gr, err, verdict.MayHaveRun)
+		st.attemptFailed(ctx, gr, err, verdict.MayHaveRun)
 		return false
 	}
-	an := &answer{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
+	an := &response{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	if an.notRun {
 		if an.status == http.StatusMisdirectedRequest {
 			st.sv.Table.Wrong(gr)
 			st.sv.OnWrong()
 		} else if ch.Idle {
-			// It has room and takes nothing, so that it would look best again.
+			// It is idle but refuses requests, so it would look best again.
 			head := gr.Head()
 			st.sv.Backpressure.SetRefused(head.Instance(), sent, st.sv.Clock.Now())
 		}
@@ -325,43 +330,43 @@
 	if st.started {
 		return false
 	}
-	st.call.pass(an)
+	st.call.writeResponse(an)
 	return true
 }
 
-// failed notes why an attempt ended.
-func (st *stream) failed(ctx context.Context, gr *dispatch.Group, err error, ran verdict.Verdict) {
+// attemptFailed records the failure of an attempt and its verdict.
+func (st *stream) attemptFailed(ctx context.Context, gr *dispatch.Group, err error, state verdict.Verdict) {
 	if cause := context.Cause(ctx); errors.Is(cause, dispatch.ErrStalled) {
 		err = cause
 	}
-	if ran != verdict.NotRun {
+	if state != verdict.NotRun {
 		st.state = verdict.MayHaveRun
 	}
 	st.cause = err
-	st.brokenOff(ctx, gr.Head().ID, gr.Head().Address, err)
-	st.log.Info("front: attempt failed.", "group", gr.Name, "events", st.passed, "cause", err.Error())
+	st.reportDisconnect(ctx, gr.Head().ID, gr.Head().Address, err)
+	st.log.Info("front: attempt failed.", "group", gr.Name, "events", st.events, "cause", err.Error())
 }
 
-// mayGoOn tells whether the request may be sent to another group.
-func (st *stream) mayGoOn(ctx context.Context) bool {
-	if ctx.Err() != nil || errors.Is(st.cause, errCallerGone) || st.sends >= st.route.MaxAttempts || len(st.tried) >= maxTried {
+// mayRetry reports whether the request may be sent to another group.
+func (st *stream) mayRetry(ctx context.Context) bool {
+	if ctx.Err() != nil || errors.Is(st.cause, errCallerGone) || st.sends >= st.route.MaxAttempts || len(st.tried) >= maxGroupsTried {
 		return false
 	}
 	if st.state != verdict.NotRun && !st.route.Idempotent() {
 		return false
 	}
 	if st.started {
-		resumed.Inc()
+		streamResumes.Inc()
 	}
 	return true
 }
 
-// maxTried bounds the groups that a request is tried at, also where none could
-// be connected to.
-const maxTried = 4
+// maxGroupsTried bounds the groups that a request is tried at, including those to which no
+// connection could be opened.
+const maxGroupsTried = 4
 
-// noGroup ends a request for which there is no group.
-func (st *stream) noGroup(ch dispatch.Choice) {
+// endNoGroup ends a request for which no group is available.
+func (st *stream) endNoGroup(ch dispatch.Choice) {
 	reason := "full"
 	switch {
 	case ch.Closed:
@@ -372,10 +377,10 @@
 	st.end(reason, ch.Again)
 }
 
-// giveUp ends a request that can't be sent any more.
-func (st *stream) giveUp(ctx context.Context, ch dispatch.Choice) {
+// endUnretried ends a request that can't be retried.
+func (st *stream) endUnretried(ctx context.Context, ch dispatch.Choice) {
 	if st.req.Context().Err() != nil || errors.Is(st.cause, errCallerGone) {
-		st.log.Info("front: answered.", "outcome", "caller-gone", "sends", st.sends, "events", st.passed)
+		st.log.Info("front: answered.", "outcome", "caller-gone", "sends", st.sends, "events", st.events)
 		st.count("caller-gone")
 		return
 	}
@@ -384,22 +389,22 @@
 		reason = "timeout"
 	}
 	now := st.sv.Clock.Now()
-	st.end(reason, max(againBusy, ch.Again, st.sv.Table.Opens(st.need(now), now)))
+	st.end(reason, max(retryAfterBusy, ch.Again, st.sv.Table.Opens(st.need(now), now)))
 }
 
-// end gives the final answer. A stream that has begun ends by closing the
-// connection, so that it can't look whole.
-func (st *stream) end(reason string, again time.Duration) {
+// end sends the final response. A stream whose header was already sent ends by aborting the
+// connection, so that the caller can't take it for complete.
+func (st *stream) end(reason string, retryAfter time.Duration) {
 	switch {
 	case st.started:
-		st.log.Info("front: answered.", "outcome", "broken", "reason", reason, "sends", st.sends, "events", st.passed,
+		st.log.Info("front: answered.", "outcome", "broken", "reason", reason, "sends", st.sends, "events", st.events,
 			"ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
 		st.count("broken-" + reason)
 		panic(http.ErrAbortHandler)
 	case st.state == verdict.NotRun:
-		st.refuse(refusal{status: http.StatusServiceUnavailable, reason: reason, again: again, cause: st.cause})
+		st.refuse(refusal{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter, cause: st.cause})
 	case st.final != nil:
-		st.call.pass(st.final)
+		st.call.writeResponse(st.final)
 	case reason == "timeout":
 		st.refuse(refusal{status: http.StatusGatewayTimeout, reason: reason, cause: st.cause})
 	default:
