--- a/internal/endpoint/complete.go
+++ b/internal/endpoint/complete.go
@@ -14,8 +14,8 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Completion is one attempt to have a group complete a request.
-type Completion struct {
+// CompletionRequest is one attempt to have a group complete a request.
+type CompletionRequest struct {
 	RequestID string
 	Address   string
 	Group     string
@@ -24,19 +24,19 @@
 	Path string
 	// Body is the JSON request, with streaming enabled.
 	Body []byte
-	// Stall is the longest time that the engine may send nothing.
-	Stall time.Duration
-	// Before is called right before the request is sent. If it returns an error, the
+	// StallTimeout is the longest time that the engine may send nothing.
+	StallTimeout time.Duration
+	// BeforeSend is called right before the request is sent. If it returns an error, the
 	// request is not sent.
-	Before func() *verdict.Error
+	BeforeSend func() *verdict.Error
 }
 
 // Chunk is one event of a completion stream.
 type Chunk struct {
 	// Text is the generated text.
 	Text string
-	// Finish is the finish reason. It is set in the last chunk with text.
-	Finish string
+	// FinishReason is the engine's finish reason. It is set in the last chunk with text.
+	FinishReason string
 	// Usage is the engine's token usage as raw JSON, if the chunk contains it.
 	Usage json.RawMessage
 }
@@ -60,15 +60,15 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Engines sends completion requests to the leaders of groups.
-type Engines struct {
+// EngineClient sends completion requests to the leaders of groups.
+type EngineClient struct {
 	Transport http.RoundTripper
 }
 
 // Complete sends the request and calls emit for each chunk in order. It returns nil only after
 // the stream's terminator. An error from emit ends the attempt and is returned unchanged.
-func (es Engines) Complete(ctx context.Context, co Completion, emit func(Chunk) error) error {
-	at := newAttempt(ctx, co.Stall)
+func (es EngineClient) Complete(ctx context.Context, co CompletionRequest, emit func(Chunk) error) error {
+	at := newAttempt(ctx, co.StallTimeout)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, http.MethodPost, "http://"+co.Address+co.Path, bytes.NewReader(co.Body))
 	if err != nil {
@@ -80,7 +80,7 @@
 	req.Header.Set(HeaderRequestID, co.RequestID)
 	req.Header.Set(HeaderGroup, co.Group)
 	req.Header.Set(HeaderFence, strconv.FormatUint(co.Fence, 10))
-	if ve := co.Before(); ve != nil {
+	if ve := co.BeforeSend(); ve != nil {
 		return ve
 	}
 	rsp, err := es.Transport.RoundTrip(req)
@@ -91,7 +91,7 @@
 	if ve := checkResponse(rsp, co.RequestID); ve != nil {
 		return ve
 	}
-	return at.readStream(rsp.Body, co.Stall, emit)
+	return at.readStream(rsp.Body, co.StallTimeout, emit)
 }
 
 // checkResponse returns an error unless the response is a success response to this request.
@@ -149,7 +149,7 @@
 	ch := Chunk{Usage: cb.Usage}
 	if len(cb.Choices) > 0 {
 		ch.Text = cb.Choices[0].Text + cb.Choices[0].Delta.Content
-		ch.Finish = cb.Choices[0].FinishReason
+		ch.FinishReason = cb.Choices[0].FinishReason
 	}
 	return ch, nil
 }
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -21,13 +21,13 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Once forbids that the call runs twice. It is sent on a new connection.
-	Once    bool
-	Timeout time.Duration
+	// AtMostOnce means that the call must not run twice. It is sent on a new connection.
+	AtMostOnce bool
+	Timeout    time.Duration
 }
 
-// Answer is the complete response of a service.
-type Answer struct {
+// Response is the complete response of a service.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -35,66 +35,66 @@
 
 const maxResponseBytes = 8 << 20
 
-// Services calls plain services.
-type Services struct {
+// ServiceClient calls plain services.
+type ServiceClient struct {
 	// Transport reuses connections. It is used for calls that may be retried.
 	Transport http.RoundTripper
-	// OnceTransport never reuses a connection. net/http retries a request by itself when a
+	// NoReuseTransport never reuses a connection. net/http retries a request by itself when a
 	// reused connection fails and the request has an Idempotency-Key, but never on a new
 	// connection.
-	OnceTransport http.RoundTripper
+	NoReuseTransport http.RoundTripper
 }
 
-// NewOnceTransport returns a transport for Services.OnceTransport.
-func NewOnceTransport() *http.Transport {
+// NewNoReuseTransport returns a transport for ServiceClient.NoReuseTransport.
+func NewNoReuseTransport() *http.Transport {
 	tr := NewTransport(0)
 	tr.DisableKeepAlives = true
 	return tr
 }
 
 // Do makes the call and reads the complete response.
-func (ss Services) Do(ctx context.Context, ca Call) (Answer, error) {
+func (ss ServiceClient) Do(ctx context.Context, ca Call) (Response, error) {
 	at := newAttempt(ctx, ca.Timeout)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, ca.Method, "http://"+ca.Address+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
-		return Answer{}, at.newError(verdict.CodeBadRequest, "the call could not be made", err)
+		return Response{}, at.newError(verdict.CodeBadRequest, "the call could not be made", err)
 	}
 	if ca.Header != nil {
 		req.Header = ca.Header.Clone()
 	}
 	req.Header.Set(HeaderRequestID, ca.RequestID)
 	transport := ss.Transport
-	if ca.Once {
-		transport = ss.OnceTransport
+	if ca.AtMostOnce {
+		transport = ss.NoReuseTransport
 		req.GetBody = nil
 	}
 	rsp, err := transport.RoundTrip(req)
 	if err != nil {
-		return Answer{}, at.newError(verdict.CodeEndpointFailed, "the service did not answer", err)
+		return Response{}, at.newError(verdict.CodeEndpointFailed, "the service did not answer", err)
 	}
 	defer rsp.Body.Close()
 	return at.readResponse(rsp, ca)
 }
 
-func (at *attempt) readResponse(rsp *http.Response, ca Call) (Answer, error) {
+func (at *attempt) readResponse(rsp *http.Response, ca Call) (Response, error) {
 	if ve := refusalError(rsp); ve != nil {
-		return Answer{}, ve
+		return Response{}, ve
 	}
 	if got := rsp.Header.Get(HeaderRequestID); got != "" && got != ca.RequestID {
-		return Answer{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
+		return Response{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
 			Message: "the service answered request " + strconv.Quote(got)}
 	}
 	// A body that is delimited by the end of the connection cannot be told from a truncated one.
 	if rsp.ContentLength < 0 && !slices.Contains(rsp.TransferEncoding, "chunked") {
-		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
+		return Response{}, at.newError(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
 	}
 	body, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes+1))
 	if err != nil {
-		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer was cut off", err)
+		return Response{}, at.newError(verdict.CodeBrokenAnswer, "the answer was cut off", err)
 	}
 	if len(body) > maxResponseBytes {
-		return Answer{}, at.newError(verdict.CodeBrokenAnswer, "the answer is too large", nil)
+		return Response{}, at.newError(verdict.CodeBrokenAnswer, "the answer is too large", nil)
 	}
-	return Answer{Status: rsp.StatusCode, Header: rsp.Header, Body: body}, nil
+	return Response{Status: rsp.StatusCode, Header: rsp.Header, Body: body}, nil
 }
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -25,7 +25,7 @@
 	ct.number++
 	set := ct.da.Settings
 	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
+		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
 		Gone: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), Suspects: ex.suspects, Advancing: ex.advancing, Change: ex.change,
 		Power: int(set.CPUShare * 1000), Follows: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -210,7 +210,7 @@
 	ct.logTotals(now)
 	if now.After(ct.sweepDue) {
 		ct.sweepDue = now.Add(poolSweep)
-		ct.da.pool.Sweep()
+		ct.da.pool.CloseExpired()
 		ct.ends.sweep(now)
 		ct.da.quarantine.Sweep(now)
 		ct.da.backpressure.Sweep(now)
@@ -227,7 +227,7 @@
 func (ct *control) shareBudgets() {
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
-	ct.da.front.SetDaemons(num)
+	ct.da.front.SetDaemonCount(num)
 	ct.da.table.SetDaemons(num)
 }
 
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -136,7 +136,7 @@
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.brokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.brokenOff(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
 			_, held := ct.da.quarantine.Held(fp, time.Now())
--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -14,8 +14,8 @@
 // processes have crashed on.
 const reasonQuarantined = "quarantined"
 
-// BrokenOff is a request whose endpoint closed the connection before the response was complete.
-type BrokenOff struct {
+// Disconnect is a request whose endpoint closed the connection before the response was complete.
+type Disconnect struct {
 	Request quarantine.Fingerprint
 	// Endpoint is the endpoint's ID, Address the address that the request was sent to.
 	Endpoint, Address string
@@ -52,7 +52,7 @@
 	if !http1.PeerClosed(err) && !errors.Is(err, errTruncatedEvent) {
 		return
 	}
-	known := ca.sv.OnBrokenOff(BrokenOff{ca.fingerprint, endpoint, addr})
+	known := ca.sv.OnDisconnect(Disconnect{ca.fingerprint, endpoint, addr})
 	if !ca.sv.Quarantine.Suspected(ca.fingerprint) {
 		return
 	}
@@ -66,6 +66,6 @@
 // earlier crashes under the request then had another reason.
 func (ca *call) reportCompletion() {
 	if ca.sv.Quarantine.Suspected(ca.fingerprint) {
-		ca.sv.OnAnswered(ca.fingerprint)
+		ca.sv.OnCompletion(ca.fingerprint)
 	}
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -37,7 +37,7 @@
 	groupServers []*emulator.Server
 	// disconnects and completions are the events that the server reported.
 	mu          sync.Mutex
-	disconnects []BrokenOff
+	disconnects []Disconnect
 	completions []quarantine.Fingerprint
 }
 
@@ -49,7 +49,7 @@
 
 // recordDisconnect records the event and returns a closed channel, as if the endpoint had been
 // found running.
-func (ri *rig) recordDisconnect(bo BrokenOff) <-chan struct{} {
+func (ri *rig) recordDisconnect(bo Disconnect) <-chan struct{} {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
 	ri.disconnects = append(ri.disconnects, bo)
@@ -82,8 +82,8 @@
 	}
 	ri.cfg.BuildIndexes()
 	ri.front = &Server{Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(&ri.log, nil)), Table: ri.table, Plain: ri.plain,
-		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnWrong: func() {}, OnLeaving: func(catalog.Instance) {},
-		Quarantine: &quarantine.Ledger{}, OnBrokenOff: ri.recordDisconnect, OnAnswered: ri.recordCompletion,
+		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnMisrouted: func() {}, OnLeaving: func(catalog.Instance) {},
+		Quarantine: &quarantine.Ledger{}, OnDisconnect: ri.recordDisconnect, OnCompletion: ri.recordCompletion,
 		Backpressure: &backpressure.Register{},
 		Pool:         &http1.Pool{Clock: clock.System{}, DialTimeout: longTimeout},
 		Budget:       &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -14,9 +14,9 @@
 // limitChanges counts the rate limits that endpoints set, changed or withdrew.
 var limitChanges = metrics.NewCounter("corianderhub_endpoint_limit_changes_total")
 
-// Heard applies what the header of a response to a request says about its endpoint: rate
-// limit, back-off and shutdown. sent is the time when the request was sent.
-func (sv *Server) Heard(li catalog.Instance, rsp *http.Response, sent time.Time) {
+// ApplyResponseHeader applies what the header of a response to a request says about its endpoint:
+// rate limit, back-off and shutdown. sent is the time when the request was sent.
+func (sv *Server) ApplyResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	// A refusal may be generated before the server itself sees the request, so a missing
 	// limit does not withdraw the current one.
 	if limit, ok := sv.limitOf(li, rsp); ok && (limit.Named || !notRun(rsp)) {
@@ -57,11 +57,11 @@
 	}
 }
 
-// HeardInCall applies the rate limit and the shutdown in the header of a response to a control
-// call, which is not a caller's request. sent is the time when the call was sent. Servers need not
-// send there the headers that they send in responses to requests, so a missing header withdraws
-// nothing.
-func (sv *Server) HeardInCall(li catalog.Instance, rsp *http.Response, sent time.Time) {
+// ApplyControlResponseHeader applies the rate limit and the shutdown in the header of a response to
+// a control call, which is not a caller's request. sent is the time when the call was sent. Servers
+// need not send there the headers that they send in responses to requests, so a missing header
+// withdraws nothing.
+func (sv *Server) ApplyControlResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if limit, ok := sv.limitOf(li, rsp); ok && limit.Named {
 		sv.setLimit(li, limit, sent)
 	}
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -349,7 +349,7 @@
 	ri.view.Groups[0].Members[0].ID = "former"
 	ri.addGroup(nil)
 	misrouted := make(chan struct{}, 1)
-	ri.front.OnWrong = func() { misrouted <- struct{}{} }
+	ri.front.OnMisrouted = func() { misrouted <- struct{}{} }
 	for len(misrouted) == 0 {
 		if re := ri.send("/draft/x", "id", setTokenCounts); re.status != http.StatusOK {
 			t.Fatalf("status %d, want 200", re.status)
@@ -365,7 +365,7 @@
 	ri := newRig(t)
 	ri.addPlain(nil)
 	ri.addGroup(nil)
-	ri.front.Stop()
+	ri.front.SetStopping()
 	hc := &http.Client{Transport: &http.Transport{}}
 	for _, path := range []string{"/slot/x", "/draft/x"} {
 		req, err := http.NewRequest(http.MethodPost, ri.hs.URL+path, nil)
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	defer ex.Close()
-	ca.sv.Heard(ep.Instance(), ex.Response, begin)
+	ca.sv.ApplyResponseHeader(ep.Instance(), ex.Response, begin)
 	body, err := ex.ReadAll(maxResponseBytes)
 	if err != nil {
 		err = &http1.Error{Verdict: verdict.MayHaveRun, Err: err}
@@ -132,7 +132,7 @@
 	now := ca.sv.Clock.Now()
 	ca.sv.Plain.Answered(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
 	if an.status == http.StatusMisdirectedRequest {
-		ca.sv.OnWrong()
+		ca.sv.OnMisrouted()
 	}
 	ca.log.Debug("front: endpoint responded.", "endpoint", ep.ID, "status", an.status, "not-run", an.notRun)
 	return an, nil
--- a/internal/front/quarantine_test.go
+++ b/internal/front/quarantine_test.go
@@ -54,7 +54,7 @@
 			ri := newRig(t)
 			fp := fingerprintOf(path, "crash")
 			ri.front.Quarantine.Ended(quarantine.End{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
-			ri.front.OnBrokenOff = func(bo BrokenOff) <-chan struct{} {
+			ri.front.OnDisconnect = func(bo Disconnect) <-chan struct{} {
 				known := make(chan struct{})
 				time.AfterFunc(50*time.Millisecond, func() {
 					ri.quarantineRequest(bo.Request)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -45,17 +45,17 @@
 	Budget *dispatch.Budget
 	// Backpressure holds the rate limits, back-off times and announced shutdowns of endpoints.
 	Backpressure *backpressure.Register
-	// OnWrong is called when an endpoint refuses a request that was meant for another one.
-	OnWrong func()
+	// OnMisrouted is called when an endpoint refuses a request that was meant for another one.
+	OnMisrouted func()
 	// OnLeaving is called when an endpoint has announced its shutdown in a response.
 	OnLeaving func(catalog.Instance)
 	// Quarantine records the requests that server processes have crashed on.
 	Quarantine *quarantine.Ledger
-	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
+	// OnDisconnect is called when an endpoint closes the connection while it has a request.
 	// The returned channel is closed once it is known whether the endpoint has crashed.
-	OnBrokenOff func(BrokenOff) <-chan struct{}
-	// OnAnswered is called when a request that endpoints have crashed on was completed.
-	OnAnswered func(quarantine.Fingerprint)
+	OnDisconnect func(Disconnect) <-chan struct{}
+	// OnCompletion is called when a request that endpoints have crashed on was completed.
+	OnCompletion func(quarantine.Fingerprint)
 
 	stopping atomic.Bool
 	daemons  atomic.Int64
@@ -67,17 +67,18 @@
 	firstUnconfigured atomic.Int64
 }
 
-// Stop makes the server ask callers to close their connections, by the header of each response.
-func (sv *Server) Stop() { sv.stopping.Store(true) }
+// SetStopping makes the server ask callers to close their connections, by the header of each
+// response.
+func (sv *Server) SetStopping() { sv.stopping.Store(true) }
 
-// SetDaemons sets the number of daemons that share the endpoints' connection limits.
-func (sv *Server) SetDaemons(num int) { sv.daemons.Store(int64(num)) }
+// SetDaemonCount sets the number of daemons that share the endpoints' connection limits.
+func (sv *Server) SetDaemonCount(num int) { sv.daemons.Store(int64(num)) }
 
-// Working returns the number of requests in flight.
-func (sv *Server) Working() int64 { return sv.inFlight.Load() }
+// InFlight returns the number of requests in flight.
+func (sv *Server) InFlight() int64 { return sv.inFlight.Load() }
 
-// Served returns the number of requests received since the start, including those in flight.
-func (sv *Server) Served() int64 { return sv.received.Load() }
+// Received returns the number of requests received since the start, including those in flight.
+func (sv *Server) Received() int64 { return sv.received.Load() }
 
 // call is one request of a caller.
 type call struct {
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -128,7 +128,7 @@
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.Heard(head.Instance(), ex.Response, sent)
+	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.handleNonStream(part, ch, ex, sent)
 	}
@@ -312,7 +312,7 @@
 	if an.notRun {
 		if an.status == http.StatusMisdirectedRequest {
 			st.sv.Table.Wrong(gr)
-			st.sv.OnWrong()
+			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It is idle but refuses requests, so it would look best again.
 			head := gr.Head()
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -26,16 +26,16 @@
 	maxSkippedBytes = 256 << 10
 )
 
-// ErrForeign means that the responses on a connection belong to other requests.
-var ErrForeign = errors.New("http1: response belongs to another request")
+// ErrMismatchedResponse means that the responses on a connection belong to other requests.
+var ErrMismatchedResponse = errors.New("http1: response belongs to another request")
 
 // Error is a failed exchange. Verdict states whether the endpoint may have run the
 // request.
 type Error struct {
 	Verdict verdict.Verdict
-	// Connect is set when the connection could not be opened.
-	Connect bool
-	Err     error
+	// ConnectFailed is set when the connection could not be opened.
+	ConnectFailed bool
+	Err           error
 }
 
 // Error implements the error interface.
@@ -57,7 +57,7 @@
 // ConnectFailed reports whether the exchange failed because no connection could be opened.
 func ConnectFailed(err error) bool {
 	var er *Error
-	return errors.As(err, &er) && er.Connect
+	return errors.As(err, &er) && er.ConnectFailed
 }
 
 // Request is a request to an endpoint, written to the connection as given.
@@ -97,7 +97,7 @@
 func (po *Pool) Send(ctx context.Context, addr string, rq *Request) (*Exchange, error) {
 	cn, err := po.get(ctx, addr, rq.Fresh)
 	if err != nil {
-		return nil, &Error{Verdict: verdict.NotRun, Connect: true, Err: err}
+		return nil, &Error{Verdict: verdict.NotRun, ConnectFailed: true, Err: err}
 	}
 	ex := &Exchange{po: po, cn: cn, written: make(chan error, 1), maxIdle: rq.MaxIdle}
 	ex.stop = context.AfterFunc(ctx, func() { cn.nc.Close() })
@@ -154,16 +154,16 @@
 			return ex.cn.nc.SetReadDeadline(time.Time{})
 		}
 		if rsp.ContentLength < 0 && len(rsp.TransferEncoding) == 0 {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if _, err := io.CopyN(io.Discard, rsp.Body, maxSkippedBytes); !errors.Is(err, io.EOF) {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if err := ex.cn.nc.SetReadDeadline(time.Now().Add(skipTimeout)); err != nil {
 			return err
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // matches reports whether the response belongs to this request. Error responses may lack the
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -114,8 +114,9 @@
 	po.idle[cn.addr] = append(po.idle[cn.addr], cn)
 }
 
-// Drop closes all idle connections to an address. It is called when the process there has ended.
-func (po *Pool) Drop(addr string) {
+// CloseIdle closes all idle connections to an address. It is called when the process there has
+// ended.
+func (po *Pool) CloseIdle(addr string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	for _, cn := range po.idle[addr] {
@@ -124,8 +125,8 @@
 	delete(po.idle, addr)
 }
 
-// Sweep closes the idle connections that have expired.
-func (po *Pool) Sweep() {
+// CloseExpired closes the idle connections that have expired.
+func (po *Pool) CloseExpired() {
 	now := po.Clock.Now()
 	po.mu.Lock()
 	defer po.mu.Unlock()
