--- a/internal/core/steward/hold_test.go
+++ b/internal/core/steward/hold_test.go
@@ -276,7 +276,7 @@
 	wo.fleet.Change(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
 	delete(wo.entries, lost.ID)
 	wo.takeOver()
-	wo.core.Recall(gr, lost, wo.now)
+	wo.core.RestoreMember(gr, lost, wo.now)
 	wo.run(appearPatience - time.Second)
 	if !wo.formedAnew(gr) {
 		t.Error("the group's members serve in no other group")
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -59,7 +59,7 @@
 		}
 		ct.recall(now)
 	}
-	sh.core.Initial = ct.initial()
+	sh.core.InitialLoads = ct.initial()
 	if wait := sh.stepAfter.Sub(now); wait > 0 {
 		ct.wake.Reset(wait)
 		return
@@ -93,7 +93,7 @@
 	for _, gr := range ct.told.Groups {
 		for _, me := range gr.Members {
 			if ep, ok := ct.endpoints[me.ID]; !ok || ep.Incarnation.Differs(me.Incarnation) {
-				ct.lease.core.Recall(gr, me, now)
+				ct.lease.core.RestoreMember(gr, me, now)
 			}
 		}
 	}
@@ -101,13 +101,13 @@
 
 func (ct *control) logEvents(evs []steward.Event) {
 	for _, ev := range evs {
-		if ev.What == steward.GroupSound {
+		if ev.Kind == steward.GroupHealthy {
 			ct.sound.note(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
-			ct.da.table.Sound(ev.Group)
+			ct.da.table.MarkHealthy(ev.Group)
 			continue
 		}
-		metrics.GetOrCreateCounter(`corianderhub_steward_events_total{what="` + ev.What + `"}`).Inc()
-		ct.da.Log.Info("steward: "+ev.What+".", "term", ct.lease.term, "group", ev.Group, "model", ev.Model, "vm", ev.VM,
+		metrics.GetOrCreateCounter(`corianderhub_steward_events_total{what="` + ev.Kind + `"}`).Inc()
+		ct.da.Log.Info("steward: "+ev.Kind+".", "term", ct.lease.term, "group", ev.Group, "model", ev.Model, "vm", ev.VM,
 			"reason", ev.Reason, "members", ev.Members)
 	}
 }
@@ -146,7 +146,7 @@
 	core, term := ct.lease.core, ct.lease.term
 	for _, ca := range calls {
 		switch ca := ca.(type) {
-		case steward.Ask:
+		case steward.Poll:
 			ct.da.once(&ct.wg, func(ctx context.Context) { ct.ask(ctx, core, ca) })
 		case steward.Command:
 			ct.da.once(&ct.wg, func(ctx context.Context) { ct.command(ctx, core, term, ca) })
@@ -166,7 +166,7 @@
 
 // ask puts a question. Its answer counts also when it comes after the question's
 // limit.
-func (ct *control) ask(ctx context.Context, core *steward.Core, as steward.Ask) {
+func (ct *control) ask(ctx context.Context, core *steward.Core, as steward.Poll) {
 	asked := ct.da.Clock.Now()
 	answered, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -176,8 +176,8 @@
 		defer cancel()
 		re, err = ct.da.report(ctx, as.ID, as.Address, lateAnswer, as.Urgent)
 	})
-	if ct.da.Clock.Sleep(answered, as.Limit) == nil {
-		late := ct.da.Clock.Now().Sub(asked) > as.Limit+timerSlack
+	if ct.da.Clock.Sleep(answered, as.Timeout) == nil {
+		late := ct.da.Clock.Now().Sub(asked) > as.Timeout+timerSlack
 		ct.unanswered(core, as, asked, late, "no answer in time")
 		<-answered.Done()
 		if err != nil || ctx.Err() != nil {
@@ -191,19 +191,19 @@
 		ct.unanswered(core, as, asked, false, err.Error())
 		return
 	}
-	ct.forCore(core, func(co *steward.Core, now time.Time) { co.Reported(as.ID, re, asked, now) })
+	ct.forCore(core, func(co *steward.Core, now time.Time) { co.HandleReport(as.ID, re, asked, now) })
 }
 
 // unanswered tells the steward's core that a question was not answered. What this machine
 // was too late for says nothing of the endpoint: late tells that the question's own
 // timer was, and the control loop may have been.
-func (ct *control) unanswered(core *steward.Core, as steward.Ask, asked time.Time, late bool, why string) {
+func (ct *control) unanswered(core *steward.Core, as steward.Poll, asked time.Time, late bool, why string) {
 	ct.forCore(core, func(co *steward.Core, now time.Time) {
 		if late || ct.lateSince(asked) {
-			co.Inconclusive(as.ID, asked, now)
+			co.HandleInconclusivePoll(as.ID, asked, now)
 			return
 		}
-		co.Failed(as.ID, why, asked, now)
+		co.HandlePollFailure(as.ID, why, asked, now)
 	})
 }
 
@@ -244,7 +244,7 @@
 func (ct *control) command(ctx context.Context, core *steward.Core, term int64, cd steward.Command) {
 	out, status, err := ct.da.order(ctx, term, cd)
 	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.Summary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", cause(err))
-	ct.forCore(core, func(co *steward.Core, now time.Time) { co.Done(cd, out, now) })
+	ct.forCore(core, func(co *steward.Core, now time.Time) { co.HandleOutcome(cd, out, now) })
 }
 
 func cause(err error) string {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -216,7 +216,7 @@
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetDelay(ct.da.mesh.LoadDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.LoadDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -228,7 +228,7 @@
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
 	ct.da.front.SetDaemonCount(num)
-	ct.da.table.SetDaemons(num)
+	ct.da.table.SetDaemonCount(num)
 }
 
 // shareLimits tells among which daemons the endpoints' limits are divided.
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -158,7 +158,7 @@
 		Quarantine:  da.quarantine, Backpressure: da.backpressure,
 		OnDisconnect: func(bo front.Disconnect) <-chan struct{} { return da.control.lookAfter(bo) },
 		OnCompletion: func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
-		Budget: &dispatch.Budget{Began: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
+		Budget: &dispatch.Budget{StartedAt: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
 	return nil
@@ -280,7 +280,7 @@
 func (da *Daemon) peerCalls() http.Handler {
 	sv := &mesh.Server{View: da.view.Load, Daemons: da.mesh.Known,
 		Quarantine:   func() []quarantine.Entry { return da.quarantine.Entries(da.Clock.Now()) },
-		Backpressure: func() []backpressure.Word { return da.backpressure.Known(da.Clock.Now()) },
+		Backpressure: func() []backpressure.Notice { return da.backpressure.Notices(da.Clock.Now()) },
 		Config: func() ([]byte, int64) {
 			if co := da.config.Load(); co != nil {
 				return co.raw, co.Revision
--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -42,7 +42,7 @@
 // longer. Server processes have crashed on it: each attempt could crash another one, with all
 // requests that it serves.
 func (ca *call) quarantined() (time.Duration, bool) {
-	return ca.sv.Quarantine.Held(ca.fingerprint, ca.sv.Clock.Now())
+	return ca.sv.Quarantine.Quarantined(ca.fingerprint, ca.sv.Clock.Now())
 }
 
 // reportDisconnect reports an attempt that failed because its endpoint closed the connection.
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -43,7 +43,7 @@
 // that its refusal requires.
 func (sv *Server) applyRetryAfter(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if !notRun(rsp) {
-		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
+		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
 	retryAfter, err := platform.RestOf(rsp, sv.Clock.Now())
@@ -52,7 +52,7 @@
 	}
 	if retryAfter > 0 {
 		retryAfterCount.Inc()
-		sv.Backpressure.SetRest(li, retryAfter, sv.Clock.Now())
+		sv.Backpressure.SetRetryAfter(li, retryAfter, sv.Clock.Now())
 		sv.Log.Info("front: endpoint requires back-off.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", retryAfter.Milliseconds())
 	}
 }
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -175,9 +175,9 @@
 		}
 	}
 	first := stalledServer(nil)
-	ri.table.Broken("group-"+first.ID, time.Now())
+	ri.table.MarkBroken("group-"+first.ID, time.Now())
 	second := stalledServer(first)
-	ri.table.Broken("group-"+second.ID, time.Now())
+	ri.table.MarkBroken("group-"+second.ID, time.Now())
 	close(second.Resume)
 	if re := <-results; re.status != http.StatusOK || re.body != completeStream("id") {
 		t.Errorf("status %d, error %v, body %q, want 200 and the complete stream", re.status, re.err, re.body)
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if pc.sends > 0 && !pc.sv.Budget.Spend(pc.service, now) {
-		pc.sv.Plain.Dropped(ep)
+		pc.sv.Plain.Release(ep)
 		pc.log.Info("front: not sent again.", "reason", "retry-budget")
 		return nil
 	}
@@ -130,7 +130,7 @@
 	}
 	an := &response{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	now := ca.sv.Clock.Now()
-	ca.sv.Plain.Answered(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
+	ca.sv.Plain.RecordResponse(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
 	if an.status == http.StatusMisdirectedRequest {
 		ca.sv.OnMisrouted()
 	}
@@ -140,10 +140,10 @@
 
 func (ca *call) plainAttemptFailed(ctx context.Context, ep *dispatch.PlainEndpoint, err error) {
 	if ca.req.Context().Err() != nil {
-		ca.sv.Plain.Dropped(ep)
+		ca.sv.Plain.Release(ep)
 		return
 	}
-	ca.sv.Plain.Failed(ep, ca.sv.Clock.Now())
+	ca.sv.Plain.RecordFailure(ep, ca.sv.Clock.Now())
 	ca.reportDisconnect(ctx, ep.ID, ep.Address, err)
 	ca.log.Info("front: attempt failed.", "endpoint", ep.ID, "cause", err.Error())
 }
@@ -158,7 +158,7 @@
 	case pc.state == verdict.NotRun && len(pc.tried) == 0:
 		pc.refuse(pc.noEndpoint())
 	case pc.state == verdict.NotRun:
-		retryAfter := max(retryAfterBusy, pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()))
+		retryAfter := max(retryAfterBusy, pc.sv.Plain.WaitTime(pc.service, pc.sv.Clock.Now()))
 		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoints-refused", retryAfter: retryAfter, cause: pc.err})
 	case pc.remaining() <= 0:
 		pc.refuse(refusal{status: http.StatusGatewayTimeout, reason: "timeout", cause: pc.err})
@@ -170,7 +170,7 @@
 // noEndpoint returns the refusal of a request for which no endpoint is available.
 func (pc *plainCall) noEndpoint() refusal {
 	re := refusal{status: http.StatusServiceUnavailable, reason: "no-endpoint", retryAfter: retryAfterNoEndpoint}
-	if retryAfter := pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()); retryAfter > 0 {
+	if retryAfter := pc.sv.Plain.WaitTime(pc.service, pc.sv.Clock.Now()); retryAfter > 0 {
 		re.reason, re.retryAfter = reasonClosed, retryAfter
 	}
 	return re
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -61,7 +61,7 @@
 	daemons  atomic.Int64
 	inFlight atomic.Int64
 	received atomic.Int64
-	waits    dispatch.Waits
+	waits    dispatch.WaitEstimator
 	// firstUnconfigured is when the first request arrived without a configuration, in Unix
 	// nanoseconds.
 	firstUnconfigured atomic.Int64
@@ -152,7 +152,7 @@
 	ca.maxIdle = maxIdle(cfg.Services[ca.service].MaxConns, int(ca.sv.daemons.Load()))
 	ca.deadline = ca.arrived.Add(ca.timeout())
 	if timeout, ok := ca.callerTimeout(); ok {
-		ca.waited = ca.sv.waits.Before(ca.route.Host+ca.route.Prefix, timeout, ca.route.Timeout)
+		ca.waited = ca.sv.waits.ElapsedWait(ca.route.Host+ca.route.Prefix, timeout, ca.route.Timeout)
 	}
 	return ca.readBody(cfg)
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -112,7 +112,7 @@
 	}
 	st.tried = append(st.tried, ch.Group)
 	st.choice = ch
-	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.First.Milliseconds(), "fits", ch.Fits)
+	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
 	head := ch.Group.Head()
 	ex, err := st.sv.Pool.Send(part, head.Address, st.groupRequest(head.ID))
@@ -122,7 +122,7 @@
 	}
 	if err != nil {
 		if part.Err() == nil && http1.ConnectFailed(err) {
-			st.sv.Table.Unreachable(ch.Group)
+			st.sv.Table.MarkUnreachable(ch.Group)
 		}
 		st.attemptFailed(part, ch.Group, err, http1.VerdictOf(err))
 		return ch, false
@@ -133,7 +133,7 @@
 		return ch, st.handleNonStream(part, ch, ex, sent)
 	}
 	st.state = verdict.Ran
-	err = st.relay(ex, ti, sent, ch.First)
+	err = st.relay(ex, ti, sent, ch.FirstEvent)
 	if err == nil {
 		st.finish()
 		return ch, true
@@ -183,7 +183,7 @@
 	for {
 		now := st.sv.Clock.Now()
 		ne := st.need(now)
-		ne.Last = !st.started && !until.IsZero() && now.Add(pause).After(until)
+		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(pause).After(until)
 		ch, ti := st.sv.Table.Pick(ne, cancel, now)
 		if ti != nil || now.Add(pause).After(until) || st.sv.Clock.Sleep(ctx, pause) != nil {
 			return ch, ti
@@ -192,9 +192,9 @@
 }
 
 // need returns the current requirements of the request.
-func (st *stream) need(now time.Time) dispatch.Need {
-	ne := dispatch.Need{Service: st.service, Model: st.model, Prompt: st.prompt, Pause: st.route.PauseObjective,
-		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, Wait: min(maxLateWait, st.remaining()), Begun: st.started, Except: st.tried}
+func (st *stream) need(now time.Time) dispatch.Request {
+	ne := dispatch.Request{Service: st.service, Model: st.model, Prompt: st.prompt, MaxPause: st.route.PauseObjective,
+		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, MaxWait: min(maxLateWait, st.remaining()), Resumed: st.started, Exclude: st.tried}
 	if st.started {
 		// The caller already has the first event, so the objective is now a short gap.
 		ne.Objective = st.route.PauseObjective
@@ -211,12 +211,12 @@
 		return time.Time{}
 	}
 	ho := st.sv.Table.HoldLate(st.need(now), st.remaining(), now)
-	if ho.For <= 0 {
+	if ho.Delay <= 0 {
 		return time.Time{}
 	}
-	lateDelays.Update(ho.For.Seconds())
-	_ = st.sv.Clock.Sleep(ctx, ho.For) // If ctx is canceled, its next use ends the request.
-	return now.Add(ho.Most)
+	lateDelays.Update(ho.Delay.Seconds())
+	_ = st.sv.Clock.Sleep(ctx, ho.Delay) // If ctx is canceled, its next use ends the request.
+	return now.Add(ho.MaxDelay)
 }
 
 // relay forwards events as they arrive. It returns nil at the end of a complete stream.
@@ -292,10 +292,10 @@
 
 func (st *stream) finish() {
 	st.reportCompletion()
-	st.sv.Table.Answered(st.choice.Group, st.events, st.sv.Clock.Now())
+	st.sv.Table.RecordAnswer(st.choice.Group, st.events, st.sv.Clock.Now())
 	st.log.Info("front: answered.", "outcome", "whole", "status", http.StatusOK, "sends", st.sends, "events", st.events,
-		"group", st.choice.Group.Name, "first-ms", st.firstEvent.Milliseconds(), "predicted-ms", st.choice.First.Milliseconds(),
-		"fits", st.choice.Fits, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.maxPause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
+		"group", st.choice.Group.Name, "first-ms", st.firstEvent.Milliseconds(), "predicted-ms", st.choice.FirstEvent.Milliseconds(),
+		"fits", st.choice.MeetsObjective, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.maxPause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
 	st.count("passed-2xx")
 }
 
@@ -311,7 +311,7 @@
 	an := &response{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	if an.notRun {
 		if an.status == http.StatusMisdirectedRequest {
-			st.sv.Table.Wrong(gr)
+			st.sv.Table.MarkMisrouted(gr)
 			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It is idle but refuses requests, so it would look best again.
@@ -369,12 +369,12 @@
 func (st *stream) endNoGroup(ch dispatch.Choice) {
 	reason := "full"
 	switch {
-	case ch.Closed:
+	case ch.AllLimited:
 		reason = reasonClosed
 	case ch.Groups == 0:
 		reason = "no-group"
 	}
-	st.end(reason, ch.Again)
+	st.end(reason, ch.RetryAfter)
 }
 
 // endUnretried ends a request that can't be retried.
@@ -389,7 +389,7 @@
 		reason = "timeout"
 	}
 	now := st.sv.Clock.Now()
-	st.end(reason, max(retryAfterBusy, ch.Again, st.sv.Table.Opens(st.need(now), now)))
+	st.end(reason, max(retryAfterBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.need(now), now)))
 }
 
 // end sends the final response. A stream whose header was already sent ends by aborting the
