--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -12,10 +12,10 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// rudeServer answers the first request of each connection and closes the
-// connection after reading any further one, as a server does that restarts.
-// It counts the requests that it has read.
-func rudeServer(t *testing.T) (addr string, read *atomic.Int64) {
+// closingServer responds to the first request of each connection and closes the connection
+// after it has read a second one, as a restarting server does. It counts the requests that it
+// has read at /count.
+func closingServer(t *testing.T) (addr string, read *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,13 +29,13 @@
 			if err != nil {
 				return
 			}
-			go rude(conn, read)
+			go serveClosing(conn, read)
 		}
 	}()
 	return ln.Addr().String(), read
 }
 
-func rude(conn net.Conn, read *atomic.Int64) {
+func serveClosing(conn net.Conn, read *atomic.Int64) {
 	defer conn.Close()
 	br := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -59,10 +59,9 @@
 	}
 }
 
-// net/http sends a request again by itself when a reused connection breaks,
-// if it is idempotent or has an idempotency key. The service then runs a
-// booking twice although the daemon sent it once. A call that must run once
-// never goes over a connection that was used before.
+// Guards against a call that runs twice although it was sent once. net/http retries a request
+// by itself when a reused connection breaks and the request is idempotent or has an
+// Idempotency-Key. A call that must run at most once therefore never uses a reused connection.
 func TestTransportDoesNotReplay(t *testing.T) {
 	tests := []struct {
 		name string
@@ -73,13 +72,13 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			addr, read := rudeServer(t)
-			ss := Services{Transport: NewTransport(4), OnceTransport: NewOnceTransport()}
+			addr, read := closingServer(t)
+			ss := ServiceClient{Transport: NewTransport(4), NoReuseTransport: NewNoReuseTransport()}
 			warm := Call{Address: addr, Method: http.MethodGet, Path: "/", Timeout: time.Minute}
 			if _, err := ss.Do(context.Background(), warm); err != nil {
 				t.Fatal(err)
 			}
-			ca := Call{Address: addr, Method: http.MethodPost, Path: "/count", Body: tc.body, Once: true, Timeout: time.Minute,
+			ca := Call{Address: addr, Method: http.MethodPost, Path: "/count", Body: tc.body, AtMostOnce: true, Timeout: time.Minute,
 				Header: http.Header{"Idempotency-Key": {"k"}}}
 			_, err := ss.Do(context.Background(), ca)
 			if verdict.Of(err) != verdict.MayHaveRun {
@@ -92,7 +91,8 @@
 	}
 }
 
-// respond serves one raw answer to each connection.
+// respond starts a server that sends the same raw response on each connection, and returns its
+// address.
 func respond(t *testing.T, answer string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,7 +115,7 @@
 	return ln.Addr().String()
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	tests := []struct {
 		name    string
 		answer  string
@@ -134,7 +134,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			ss := Services{Transport: NewTransport(4)}
+			ss := ServiceClient{Transport: NewTransport(4)}
 			_, err := ss.Do(context.Background(), Call{RequestID: "mine", Address: respond(t, tc.answer), Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 			if tc.code == "" {
 				if err != nil {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Nothing listens: the request can't have run.
+// Guards against a wrong verdict when nothing listens at the address: the request has not run.
 func TestRefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	ss := Services{Transport: NewTransport(4)}
+	ss := ServiceClient{Transport: NewTransport(4)}
 	_, err = ss.Do(context.Background(), Call{Address: addr, Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 	if got := verdict.Of(err); got != verdict.NotRun {
 		t.Errorf("verdict = %s, want %s", got, verdict.NotRun)
