--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -144,13 +144,13 @@
 	da.table = &dispatch.Table{DataCenter: set.DataCenter, Backpressure: da.backpressure}
 	da.plain = &dispatch.Plain{DataCenter: set.DataCenter, Backpressure: da.backpressure}
 	da.quarantine = &quarantine.Ledger{}
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(set.IP), Port: set.InnerPorts[0]})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(set.IP), Port: set.InternalPorts[0]})
 	if err != nil {
 		return eris.Wrap(err, "listen for daemons")
 	}
-	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InnerPorts[0],
+	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InternalPorts[0],
 		OnBeat: func(be mesh.Beat) { da.control.post(func() { da.control.beat(be) }) }}
-	da.peers = mesh.NewClient(set.InnerPorts[1])
+	da.peers = mesh.NewClient(set.InternalPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
 		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
@@ -176,7 +176,7 @@
 	set := da.Settings
 	directory := &front.Directory{Log: da.Log, Addresses: da.addresses,
 		TTLSeconds: min(entryTTL, set.Bounds.MaxTTL.Seconds())}
-	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InnerPorts[1]))
+	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPorts[1]))
 	listeners := []struct {
 		name, addr string
 		handler    http.Handler
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -27,7 +27,7 @@
 
 // hearLeaving takes in that the endpoint stops soon.
 func (sv *Server) hearLeaving(li catalog.Instance, rsp *http.Response) {
-	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.SaysLeaving(rsp.Header) {
+	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.AnnouncesLeaving(rsp.Header) {
 		return
 	}
 	if sv.Backpressure.SetLeaving(li, sv.Clock.Now()) {
@@ -44,7 +44,7 @@
 		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
 		return
 	}
-	rest, err := platform.RestOf(rsp, sv.Clock.Now())
+	rest, err := platform.RetryAfter(rsp, sv.Clock.Now())
 	if err != nil {
 		sv.Log.Info("front: answer's head not understood.", "endpoint", li.ID, "cause", err.Error())
 	}
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -19,8 +19,8 @@
 		name  string
 		fault emulator.Fault
 	}{
-		{"sound", emulator.None}, {"another request's answer", emulator.Foreign}, {"cut off", emulator.Truncates},
-		{"lost", emulator.LosesAnswer}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
+		{"sound", emulator.None}, {"another request's answer", emulator.MismatchedResponse}, {"cut off", emulator.Truncates},
+		{"lost", emulator.DropsResponse}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
 	}
 	for _, tc := range faults {
 		t.Run(tc.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 // A request that must not repeat is sent again only when an endpoint promised
 // that it has not run and never will. A disbursement is booked once at most.
 func TestHoldAtMostOnce(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Foreign, emulator.Truncates, emulator.LosesAnswer, emulator.Fails, emulator.Refuses} {
+	for _, fault := range []emulator.Fault{emulator.MismatchedResponse, emulator.Truncates, emulator.DropsResponse, emulator.Fails, emulator.Refuses} {
 		ri := newRig(t)
 		ri.desk(always(fault))
 		ri.desk(always(fault))
@@ -202,7 +202,7 @@
 
 // A safe request fails at one endpoint and is answered by the next.
 func TestSafeRequestIsRepeated(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Fails, emulator.LosesAnswer, emulator.Truncates, emulator.Foreign} {
+	for _, fault := range []emulator.Fault{emulator.Fails, emulator.DropsResponse, emulator.Truncates, emulator.MismatchedResponse} {
 		ri := newRig(t)
 		once := first(fault)
 		ri.desk(once)
