--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,7 +67,7 @@
 	platform *platform.Client
 	chain    chainstore.Store
 	claims   *claims.Book
-	members  endpoint.Members
+	members  endpoint.MemberClient
 	callers  *caller.Server
 	journal  *caller.Journal
 	leave    chan struct{}
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -25,7 +25,7 @@
 	ct.number++
 	set := ct.da.Settings
 	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
+		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
 		Gone: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), Suspects: ex.suspects, Advancing: ex.advancing, Change: ex.change,
 		Power: int(set.CPUShare * 1000), Follows: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
@@ -36,14 +36,14 @@
 	ct.promise(&be)
 	ct.tellQuarantine(&be, now)
 	relay := ct.lease.settled() && !ct.da.mesh.Direct()
-	be.Backpressure = ct.da.backpressure.Tell(now, ct.tellFor(), relay)
+	be.Backpressure = ct.da.backpressure.PendingNotices(now, ct.tellFor(), relay)
 	ct.lease.sent(ct.number)
-	work := mesh.Work{Own: ct.da.table.Own(now)}
+	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.settled() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
 		be.Silent = ct.da.mesh.Silent()
 		be.Sound = ct.sound.lately(now)
-		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkBut(ip, now) }
+		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
 		ct.da.Log.Error("control: beat not sent.", "cause", err.Error())
@@ -55,9 +55,9 @@
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
-		ct.da.table.PeerWork(be.IP, be.Work, now)
+		ct.da.table.ApplyPeerWork(be.IP, be.Work, now)
 	case mesh.WorkRelayed:
-		ct.da.table.RelayedWork(be.Work, now)
+		ct.da.table.ApplyRelayedWork(be.Work, now)
 	case mesh.WorkNone:
 	}
 	ct.served = ct.served || be.Served
@@ -91,7 +91,7 @@
 	ct.steward, ct.heard = be, now
 	ct.da.mesh.SetSteward(be.IP)
 	for _, su := range be.Sound {
-		ct.da.table.Sound(su.Group)
+		ct.da.table.MarkHealthy(su.Group)
 	}
 	ct.confirm(now.Add(-be.Age - hearDelay))
 	if ct.told == nil || be.Term > ct.told.Term || be.Term == ct.told.Term && be.View > ct.told.Sequence {
@@ -100,8 +100,8 @@
 }
 
 // hearBackpressure takes in what another daemon told of what endpoints said.
-func (ct *control) hearBackpressure(words []backpressure.Word, now time.Time) {
-	for _, li := range ct.da.backpressure.Hear(words, now) {
+func (ct *control) hearBackpressure(words []backpressure.Notice, now time.Time) {
+	for _, li := range ct.da.backpressure.ApplyNotices(words, now) {
 		ct.saidLeaving(li)
 	}
 }
@@ -109,7 +109,7 @@
 // learnBackpressure evens out with a steward that was not heard before what either knows of
 // what endpoints said: one of both may have just started.
 func (ct *control) learnBackpressure(be mesh.Beat) {
-	ct.da.backpressure.Retell()
+	ct.da.backpressure.ResendNotices()
 	ct.fetch("backpressure", func(ctx context.Context) func() {
 		words, err := ct.da.peers.Backpressure(ctx, be.IP)
 		if err != nil {
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -153,12 +153,12 @@
 	da.peers = mesh.NewClient(set.InternalPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
-		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
-		OnWrong:    func() { da.control.wrongEndpoint() },
-		Quarantine: da.quarantine, Backpressure: da.backpressure,
-		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
-		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
-		Budget: &dispatch.Budget{Began: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
+		OnLeaving:   func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
+		OnMisrouted: func() { da.control.wrongEndpoint() },
+		Quarantine:  da.quarantine, Backpressure: da.backpressure,
+		OnDisconnect: func(bo front.Disconnect) <-chan struct{} { return da.control.lookAfter(bo) },
+		OnCompletion: func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
+		Budget: &dispatch.Budget{StartedAt: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
 	return nil
@@ -280,7 +280,7 @@
 func (da *Daemon) peerCalls() http.Handler {
 	sv := &mesh.Server{View: da.view.Load, Daemons: da.mesh.Known,
 		Quarantine:   func() []quarantine.Entry { return da.quarantine.Entries(da.Clock.Now()) },
-		Backpressure: func() []backpressure.Word { return da.backpressure.Known(da.Clock.Now()) },
+		Backpressure: func() []backpressure.Notice { return da.backpressure.Notices(da.Clock.Now()) },
 		Config: func() ([]byte, int64) {
 			if co := da.config.Load(); co != nil {
 				return co.raw, co.Revision
@@ -300,9 +300,9 @@
 	case <-ctx.Done():
 	}
 	begin := da.Clock.Now()
-	da.Log.Info("daemon: stopping.", "name", da.Settings.Name, "working", da.front.Working())
+	da.Log.Info("daemon: stopping.", "name", da.Settings.Name, "working", da.front.InFlight())
 	da.stopping.Store(true)
-	da.front.Stop()
+	da.front.SetStopping()
 	da.control.post(da.control.leave)
 	if da.Clock.Sleep(part, acceptFor) != nil {
 		return nil
@@ -310,7 +310,7 @@
 	limit, cancel := context.WithTimeout(part, da.Settings.Bounds.Grace-stopMargin-da.Clock.Now().Sub(begin))
 	defer cancel()
 	if err := callers.Shutdown(limit); err != nil {
-		da.Log.Warn("daemon: requests were cut off.", "working", da.front.Working(), "cause", err.Error())
+		da.Log.Warn("daemon: requests were cut off.", "working", da.front.InFlight(), "cause", err.Error())
 	}
 	return nil
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -158,7 +158,7 @@
 	for i := range cap(answers) {
 		go func() { answers <- sk.ask(ru, "/draft/", fmt.Sprint("stop-", i)) }()
 	}
-	sk.until("streams under way", func() bool { return ru.da.front.Working() == int64(cap(answers)) })
+	sk.until("streams under way", func() bool { return ru.da.front.InFlight() == int64(cap(answers)) })
 	ru.stop()
 	late := sk.ask(ru, "/slot/", "late")
 	for range cap(answers) {
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -70,8 +70,8 @@
 
 // telling is one thing that the others are told of, for some beats: an end, or an answer.
 type telling struct {
-	ended     *quarantine.End
-	answered  *quarantine.Answered
+	ended     *quarantine.Crash
+	answered  *quarantine.Completion
 	at, until time.Time
 }
 
@@ -89,7 +89,7 @@
 	endedCount.Inc()
 	ct.da.Log.Info("control: endpoint ended under requests.", "endpoint", endpoint, "requests", len(requests),
 		"contents", requests[:min(maxLogged, len(requests))])
-	en := quarantine.End{Endpoint: endpoint, AtMillis: now.UnixMilli(), Requests: requests}
+	en := quarantine.Crash{Endpoint: endpoint, AtMillis: now.UnixMilli(), Requests: requests}
 	ct.hearEnd(en, now)
 	ct.tell(telling{ended: &en, at: now})
 	ct.sendBeat(beatExtra{to: mesh.ToSteward})
@@ -98,14 +98,14 @@
 // answered takes in that a request was answered whole under which endpoints had ended.
 func (ct *control) answered(fp quarantine.Fingerprint) {
 	now := ct.da.Clock.Now()
-	an := quarantine.Answered{Request: fp, AtMillis: now.UnixMilli()}
-	ct.da.quarantine.Answered(an, now)
+	an := quarantine.Completion{Request: fp, AtMillis: now.UnixMilli()}
+	ct.da.quarantine.RecordCompletion(an, now)
 	ct.tell(telling{answered: &an, at: now})
 }
 
 // hearEnd takes in an end that this daemon or another one has seen.
-func (ct *control) hearEnd(en quarantine.End, now time.Time) {
-	ct.quarantined(ct.da.quarantine.Ended(en, now), "ends")
+func (ct *control) hearEnd(en quarantine.Crash, now time.Time) {
+	ct.quarantined(ct.da.quarantine.RecordCrash(en, now), "ends")
 }
 
 // quarantined notes requests that are quarantined from now on.
@@ -169,7 +169,7 @@
 		ct.hearEnd(en, now)
 	}
 	for _, an := range be.Answered {
-		ct.da.quarantine.Answered(an, now)
+		ct.da.quarantine.RecordCompletion(an, now)
 	}
 	if be.Quarantine == 0 || be.Quarantine == ct.da.quarantine.Digest(now) || now.Sub(ct.quarantine.fetchedAt) < fetchPause {
 		return
@@ -204,12 +204,12 @@
 // quarantineChanges returns what the store lacks, and what it names in vain.
 func (ct *control) quarantineChanges(now time.Time) (puts []quarantine.Entry, deletes []quarantine.Fingerprint) {
 	for fp := range ct.quarantine.stored {
-		if _, held := ct.da.quarantine.Held(fp, now); !held && len(deletes) < maxChanges {
+		if _, held := ct.da.quarantine.Quarantined(fp, now); !held && len(deletes) < maxChanges {
 			deletes = append(deletes, fp)
 		}
 	}
 	for _, en := range ct.da.quarantine.Entries(now) {
-		if _, held := ct.da.quarantine.Held(en.Request, now); held && !ct.quarantine.stored[en.Request] && len(puts) < maxChanges {
+		if _, held := ct.da.quarantine.Quarantined(en.Request, now); held && !ct.quarantine.stored[en.Request] && len(puts) < maxChanges {
 			puts = append(puts, en)
 		}
 	}
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -136,10 +136,10 @@
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.brokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.brokenOff(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
-			_, held := ct.da.quarantine.Held(fp, time.Now())
+			_, held := ct.da.quarantine.Quarantined(fp, time.Now())
 			if want := at.content == "crash" && i == endsUntilKnown-1; held != want {
 				t.Errorf("%s, time %d: held %v, want %v", at.content, i+1, held, want)
 			}
@@ -155,7 +155,7 @@
 		ct.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
 	}
 	fp := quarantine.Fingerprint{1}
-	ct.tell(telling{ended: &quarantine.End{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
+	ct.tell(telling{ended: &quarantine.Crash{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
 	told := func() int {
 		var be mesh.Beat
 		ct.tellQuarantine(&be, cl.Now())
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -16,7 +16,7 @@
 
 // Heard takes in what the head of an answer to a request says of its endpoint. sent is when the
 // request was sent.
-func (sv *Server) Heard(li catalog.Instance, rsp *http.Response, sent time.Time) {
+func (sv *Server) ApplyResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	// A refusal may be made before the server sees the request, so what it lacks says nothing.
 	if limit, ok := sv.limitOf(li, rsp); ok && (limit.Named || !notRun(rsp)) {
 		sv.setLimit(li, limit, sent)
@@ -41,7 +41,7 @@
 // hearRest takes in that the endpoint turned a request away, and for how long it wants none.
 func (sv *Server) hearRest(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if !notRun(rsp) {
-		sv.Backpressure.SetTaken(li, sent, sv.Clock.Now())
+		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
 	rest, err := platform.RetryAfter(rsp, sv.Clock.Now())
@@ -50,14 +50,14 @@
 	}
 	if rest > 0 {
 		restCount.Inc()
-		sv.Backpressure.SetRest(li, rest, sv.Clock.Now())
+		sv.Backpressure.SetRetryAfter(li, rest, sv.Clock.Now())
 		sv.Log.Info("front: endpoint asks for rest.", "endpoint", li.ID, "status", rsp.StatusCode, "rest-ms", rest.Milliseconds())
 	}
 }
 
 // HeardInCall takes in the same of an answer to a call that is no request. Servers need not say
 // there what they say in answers to requests, so what it lacks is not taken as withdrawn.
-func (sv *Server) HeardInCall(li catalog.Instance, rsp *http.Response, sent time.Time) {
+func (sv *Server) ApplyControlResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if limit, ok := sv.limitOf(li, rsp); ok && limit.Named {
 		sv.setLimit(li, limit, sent)
 	}
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -175,9 +175,9 @@
 		}
 	}
 	first := standing(nil)
-	ri.table.Broken("group-"+first.ID, time.Now())
+	ri.table.MarkBroken("group-"+first.ID, time.Now())
 	second := standing(first)
-	ri.table.Broken("group-"+second.ID, time.Now())
+	ri.table.MarkBroken("group-"+second.ID, time.Now())
 	close(second.Resume)
 	if re := <-answer; re.status != http.StatusOK || re.body != wholeStream("id") {
 		t.Errorf("status %d, %v, body %q", re.status, re.err, re.body)
@@ -348,7 +348,7 @@
 	ri.view.Groups[0].Members[0].ID = "former"
 	ri.head(nil)
 	wrong := make(chan struct{}, 1)
-	ri.front.OnWrong = func() { wrong <- struct{}{} }
+	ri.front.OnMisrouted = func() { wrong <- struct{}{} }
 	for len(wrong) == 0 {
 		if re := ri.ask("/draft/x", "id", streaming); re.status != http.StatusOK {
 			t.Fatalf("status %d", re.status)
@@ -364,7 +364,7 @@
 	ri := newRig(t)
 	ri.desk(nil)
 	ri.head(nil)
-	ri.front.Stop()
+	ri.front.SetStopping()
 	hc := &http.Client{Transport: &http.Transport{}}
 	for _, path := range []string{"/slot/x", "/draft/x"} {
 		req, err := http.NewRequest(http.MethodPost, ri.hs.URL+path, nil)
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -93,8 +93,8 @@
 	for _, tc := range tests {
 		ri := newRig(t)
 		now := time.Now()
-		ri.front.Heard(li, answer(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
-		ri.front.Heard(li, tc.rsp, time.Now())
+		ri.front.ApplyResponseHeader(li, answer(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
+		ri.front.ApplyResponseHeader(li, tc.rsp, time.Now())
 		if num := ri.front.Backpressure.NumLimited(); num != tc.want {
 			t.Errorf("%s: %d endpoints with a limit, want %d", tc.name, num, tc.want)
 		}
--- a/internal/front/quarantine_test.go
+++ b/internal/front/quarantine_test.go
@@ -52,8 +52,8 @@
 		t.Run(path, func(t *testing.T) {
 			ri := newRig(t)
 			fp := content(path, "crash")
-			ri.front.Quarantine.Ended(quarantine.End{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
-			ri.front.OnBrokenOff = func(bo BrokenOff) <-chan struct{} {
+			ri.front.Quarantine.RecordCrash(quarantine.Crash{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
+			ri.front.OnDisconnect = func(bo Disconnect) <-chan struct{} {
 				known := make(chan struct{})
 				time.AfterFunc(50*time.Millisecond, func() {
 					ri.hold(bo.Request)
@@ -89,7 +89,7 @@
 				t.Errorf("%d answers told of requests that nothing is known of", num)
 			}
 			fp := content(path, "sound")
-			ri.front.Quarantine.Ended(quarantine.End{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
+			ri.front.Quarantine.RecordCrash(quarantine.Crash{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
 			ri.ask(path, "sound", streaming)
 			ri.mu.Lock()
 			defer ri.mu.Unlock()
--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -69,13 +69,13 @@
 	Advancing []Suspect `cbor:"29,keyasint,omitempty"`
 	// Ended and Answered are what the daemon has seen of requests under which endpoints
 	// end. As with work, all are told where daemons are few, and the steward else.
-	Ended    []quarantine.End      `cbor:"31,keyasint,omitempty"`
-	Answered []quarantine.Answered `cbor:"32,keyasint,omitempty"`
+	Ended    []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
+	Answered []quarantine.Completion `cbor:"32,keyasint,omitempty"`
 	// Quarantine is the digest of the requests that it has quarantined.
 	Quarantine uint64 `cbor:"33,keyasint,omitempty"`
 	// Backpressure is what endpoints said of how much they take: to all where daemons are
 	// few, and to the steward else, which tells it to all.
-	Backpressure []backpressure.Word `cbor:"34,keyasint,omitempty"`
+	Backpressure []backpressure.Notice `cbor:"34,keyasint,omitempty"`
 	// Follows is set while the daemon follows the store itself.
 	Follows bool `cbor:"26,keyasint,omitempty"`
 	// Sound are groups that were suspected and whose members have all answered.
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -248,8 +248,8 @@
 // Each server that ends makes news of all requests that it had. Where daemons are many, it
 // goes to the steward alone: sent to all of them it would be most of what they tell.
 func TestEndsAreToldToTheSteward(t *testing.T) {
-	be := Beat{Ended: []quarantine.End{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
-		Answered: []quarantine.Answered{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
+	be := Beat{Ended: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
+		Answered: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
 	for _, tell := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
 		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(to(0, tell))
@@ -277,7 +277,7 @@
 // tells the steward, which tells all. Sent to everyone by everyone they would be most of what
 // is told.
 func TestBackpressureIsTold(t *testing.T) {
-	be := Beat{Backpressure: []backpressure.Word{{Life: catalog.Instance{ID: "s1", Incarnation: 5},
+	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
 		Limit: backpressure.Limit{PerSecond: 1.5, Named: true}, LimitAge: time.Second}}}
 	for tell, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
 		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
