--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -28,7 +28,7 @@
 
 // applyLeaving marks the endpoint as leaving if the response says that it stops soon.
 func (sv *Server) applyLeaving(li catalog.Instance, rsp *http.Response) {
-	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.SaysLeaving(rsp.Header) {
+	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.AnnouncesLeaving(rsp.Header) {
 		return
 	}
 	if sv.Backpressure.SetLeaving(li, sv.Clock.Now()) {
@@ -46,7 +46,7 @@
 		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
-	retryAfter, err := platform.RestOf(rsp, sv.Clock.Now())
+	retryAfter, err := platform.RetryAfter(rsp, sv.Clock.Now())
 	if err != nil {
 		sv.Log.Info("front: invalid header in response.", "endpoint", li.ID, "cause", err.Error())
 	}
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -19,8 +19,8 @@
 		name  string
 		fault emulator.Fault
 	}{
-		{"sound", emulator.None}, {"another request's answer", emulator.Foreign}, {"cut off", emulator.Truncates},
-		{"lost", emulator.LosesAnswer}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
+		{"sound", emulator.None}, {"another request's answer", emulator.MismatchedResponse}, {"cut off", emulator.Truncates},
+		{"lost", emulator.DropsResponse}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
 	}
 	for _, tc := range faults {
 		t.Run(tc.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 // A request that must not be repeated is retried only after an endpoint has stated that it did
 // not run the request and never will. Otherwise a disbursement could be booked twice.
 func TestHoldAtMostOnce(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Foreign, emulator.Truncates, emulator.LosesAnswer, emulator.Fails, emulator.Refuses} {
+	for _, fault := range []emulator.Fault{emulator.MismatchedResponse, emulator.Truncates, emulator.DropsResponse, emulator.Fails, emulator.Refuses} {
 		ri := newRig(t)
 		ri.addPlain(always(fault))
 		ri.addPlain(always(fault))
@@ -203,7 +203,7 @@
 // Guards against passing on the failure of one endpoint when a safe request can be retried at
 // another.
 func TestSafeRequestIsRetried(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Fails, emulator.LosesAnswer, emulator.Truncates, emulator.Foreign} {
+	for _, fault := range []emulator.Fault{emulator.Fails, emulator.DropsResponse, emulator.Truncates, emulator.MismatchedResponse} {
 		ri := newRig(t)
 		once := failFirst(fault)
 		ri.addPlain(once)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -20,7 +20,7 @@
 			}
 			leaving := []*emulator.Server{ri.plainServers[0], ri.groupServers[0]}
 			for _, sv := range leaving {
-				sv.SetNeed(emulator.Need{Leaving: true})
+				sv.SetBackpressure(emulator.Backpressure{Leaving: true})
 			}
 			for num := range 30 {
 				if re := ri.send(path, fmt.Sprint("id-", num), setTokenCounts); re.status != http.StatusOK {
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -24,7 +24,7 @@
 func checkLimit(t *testing.T, sv *emulator.Server, perSecond float64, after time.Time) {
 	t.Helper()
 	allowed := limitRatio*perSecond*limitWindow.Seconds() + limitSlack
-	if num := sv.Busiest(limitWindow, after); float64(num) > allowed {
+	if num := sv.PeakArrivals(limitWindow, after); float64(num) > allowed {
 		t.Errorf("%s received %d requests in %s, want at most %.0f", sv.ID, num, limitWindow, allowed)
 	}
 }
@@ -40,7 +40,7 @@
 				ri.addGroup(nil)
 			}
 			for _, sv := range []*emulator.Server{ri.plainServers[0], ri.groupServers[0]} {
-				sv.SetNeed(emulator.Need{Limit: fmt.Sprint(perSecond)})
+				sv.SetBackpressure(emulator.Backpressure{Limit: fmt.Sprint(perSecond)})
 			}
 			begin := time.Now()
 			for num := range requests {
@@ -59,12 +59,12 @@
 func TestLimitIsWithdrawn(t *testing.T) {
 	ri := newRig(t)
 	ri.addPlain(nil)
-	ri.plainServers[0].SetNeed(emulator.Need{Limit: "1000"})
+	ri.plainServers[0].SetBackpressure(emulator.Backpressure{Limit: "1000"})
 	ri.send("/slot/x", "limited", nil)
 	if num := ri.front.Backpressure.NumLimited(); num != 1 {
 		t.Fatalf("%d endpoints with a limit, want 1", num)
 	}
-	ri.plainServers[0].SetNeed(emulator.Need{})
+	ri.plainServers[0].SetBackpressure(emulator.Backpressure{})
 	for end := time.Now().Add(longTimeout); ri.front.Backpressure.NumLimited() > 0; time.Sleep(5 * time.Millisecond) {
 		ri.send("/slot/x", "free", nil)
 		if time.Now().After(end) {
--- a/internal/front/quarantine_test.go
+++ b/internal/front/quarantine_test.go
@@ -63,8 +63,8 @@
 				return known
 			}
 			for range 2 {
-				ri.addPlain(always(emulator.LosesAnswer))
-				ri.addGroup(always(emulator.LosesAnswer))
+				ri.addPlain(always(emulator.DropsResponse))
+				ri.addGroup(always(emulator.DropsResponse))
 			}
 			re := ri.send(path, "crash", setTokenCounts)
 			if num := ri.runs("crash"); num != 1 {
@@ -109,7 +109,7 @@
 		name  string
 		fault emulator.Fault
 		want  bool
-	}{{"closed before the answer", emulator.LosesAnswer, true}, {"cut off", emulator.Truncates, true}, {"sound", emulator.None, false},
+	}{{"closed before the answer", emulator.DropsResponse, true}, {"cut off", emulator.Truncates, true}, {"sound", emulator.None, false},
 		{"failed", emulator.Fails, false}, {"refused", emulator.Refuses, false}}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/front/rest_test.go
+++ b/internal/front/rest_test.go
@@ -46,7 +46,7 @@
 			}
 			shedding := []*emulator.Server{ri.plainServers[0], ri.groupServers[0]}
 			for _, sv := range shedding {
-				sv.SetNeed(emulator.Need{Sheds: true, Rest: strconv.Itoa(int(backOff.Seconds()))})
+				sv.SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: strconv.Itoa(int(backOff.Seconds()))})
 			}
 			for num := range requests {
 				if re := ri.send(path, fmt.Sprint("id-", num), setTokenCounts); re.status != http.StatusOK {
@@ -72,8 +72,8 @@
 			ri := newRig(t)
 			for num := range 2 {
 				backOff := strconv.Itoa(2 + 30*num)
-				ri.addPlain(nil).SetNeed(emulator.Need{Sheds: true, Rest: backOff})
-				ri.addGroup(nil).SetNeed(emulator.Need{Sheds: true, Rest: backOff})
+				ri.addPlain(nil).SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: backOff})
+				ri.addGroup(nil).SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: backOff})
 			}
 			re := ri.send(path, "first", setTokenCounts)
 			if retryAfter, _ := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64); retryAfter < 1 {
@@ -89,7 +89,7 @@
 				t.Fatalf("status %d with Retry-After %q, want 503 with the end of the first back-off", re.status, re.header.Get(platform.HeaderRetryAfter))
 			}
 			for _, sv := range append(ri.plainServers, ri.groupServers...) {
-				sv.SetNeed(emulator.Need{})
+				sv.SetBackpressure(emulator.Backpressure{})
 			}
 			time.Sleep(time.Duration(retryAfter * float64(time.Second)))
 			if re := ri.send(path, "returned", setTokenCounts); re.status != http.StatusOK {
