--- a/internal/clock/boot.go
+++ b/internal/clock/boot.go
@@ -6,9 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// SinceBoot returns the time since the machine started, including the time
-// that it was suspended. The steady clock stands still while a VM is
-// suspended, so a holder of a lease would wake up and believe in it still.
+// SinceBoot returns the time since the machine started, including time during which it
+// was suspended. The monotonic clock stops while a VM is suspended, so a lease holder
+// that relied on it would consider an expired lease still valid after resuming.
 func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -17,5 +17,5 @@
 	return time.Duration(ts.Nano())
 }
 
-// processStart stands in where the machine has no such clock.
+// processStart is the reference for SinceBoot if the machine has no boot-time clock.
 var processStart = time.Now()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock passes time in as an interface, so that decisions can be
-// tested and replayed without waiting.
+// Package clock provides time through an interface, so that code can be tested and
+// replayed without waiting.
 package clock
 
 import (
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Clock tells the time and waits.
+// Clock provides the current time and sleeps.
 type Clock interface {
-	// Now returns the current time with a monotonic reading where there is one.
+	// Now returns the current time, with a monotonic reading if the clock has one.
 	Now() time.Time
-	// Sleep waits for dur or until ctx ends, and returns ctx.Err() in the latter case.
+	// Sleep waits for dur or until ctx ends. It returns ctx.Err() in the latter case,
+	// nil otherwise.
 	Sleep(ctx context.Context, dur time.Duration) error
 }
 
-// System is the machine's clock.
+// System is the clock of the operating system.
 type System struct{}
 
 // Now implements Clock.
@@ -34,7 +35,8 @@
 	}
 }
 
-// Manual is a clock that moves only when told to. Sleep returns at once.
+// Manual is a clock for tests. It moves only through Advance and Sleep, and Sleep
+// returns at once.
 type Manual struct {
 	mu  sync.Mutex
 	now time.Time
@@ -50,14 +52,14 @@
 	return mc.now
 }
 
-// Advance moves the clock by dur.
+// Advance moves the clock forward by dur.
 func (mc *Manual) Advance(dur time.Duration) {
 	mc.mu.Lock()
 	defer mc.mu.Unlock()
 	mc.now = mc.now.Add(dur)
 }
 
-// Sleep implements Clock by moving the clock itself.
+// Sleep implements Clock. It advances the clock instead of waiting.
 func (mc *Manual) Sleep(ctx context.Context, dur time.Duration) error {
 	mc.Advance(dur)
 	return ctx.Err()
