--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,5 +1,5 @@
-// Package logqueue writes log lines without ever making a request wait: a
-// reader that stops reading standard output costs lines, not time.
+// Package logqueue writes log lines without ever blocking a request. If the reader of
+// standard output stalls, lines are lost, but requests do not wait.
 package logqueue
 
 import (
@@ -11,40 +11,42 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// maxLines bounds the lines that wait to be written: some seconds of a busy
-// daemon, in about 1 MB.
-const maxLines = 4096
+// maxQueuedLines limits the queue: some seconds of the output of a busy daemon, about
+// 1 MB.
+const maxQueuedLines = 4096
 
-// maxBatch bounds the bytes of one write.
-const maxBatch = 32 << 10
+// maxBatchBytes is the size from which a write takes no further lines.
+const maxBatchBytes = 32 << 10
 
+// dropped counts the lines that were dropped because the queue was full.
 var dropped = metrics.NewCounter("corianderhub_log_lines_dropped_total")
 
-// Queue is an io.Writer for a log handler. Make it with New and call Run.
+// Queue is an io.Writer for a log handler. Create it with New and call Run.
 type Queue struct {
-	out     io.Writer
-	lines   chan []byte
-	missing atomic.Int64
+	out   io.Writer
+	lines chan []byte
+	// unreportedDrops counts dropped lines that the output does not mention yet.
+	unreportedDrops atomic.Int64
 }
 
-// New returns a queue in front of out.
+// New returns a queue that writes to out.
 func New(out io.Writer) *Queue {
-	return &Queue{out: out, lines: make(chan []byte, maxLines)}
+	return &Queue{out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write takes one line. It never blocks: a line that finds the queue full is
-// dropped and counted.
+// Write queues one line. It never blocks and never fails: if the queue is full, the
+// line is dropped and counted.
 func (qu *Queue) Write(line []byte) (int, error) {
 	select {
 	case qu.lines <- append([]byte(nil), line...):
 	default:
-		qu.missing.Add(1)
+		qu.unreportedDrops.Add(1)
 		dropped.Inc()
 	}
 	return len(line), nil
 }
 
-// Run writes lines until ctx ends, and then those that wait.
+// Run writes lines until ctx ends, then writes the remaining ones and returns nil.
 func (qu *Queue) Run(ctx context.Context) error {
 	for {
 		select {
@@ -57,9 +59,10 @@
 	}
 }
 
-// write writes a line together with those that wait behind it.
+// write writes a line together with the lines queued behind it, and reports dropped
+// lines.
 func (qu *Queue) write(batch []byte) {
-	for len(batch) < maxBatch {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-qu.lines:
 			batch = append(batch, line...)
@@ -68,13 +71,14 @@
 		}
 		break
 	}
-	if num := qu.missing.Swap(0); num > 0 {
+	if num := qu.unreportedDrops.Swap(0); num > 0 {
 		batch = append(batch, fmt.Sprintf("level=WARN msg=\"log: lines dropped.\" count=%d\n", num)...)
 	}
-	// There is nowhere to tell that standard output is gone.
+	// A failure of standard output cannot be reported anywhere.
 	_, _ = qu.out.Write(batch)
 }
 
+// flush writes all queued lines.
 func (qu *Queue) flush() {
 	for {
 		select {
