--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -1,6 +1,7 @@
-// Package mesh is the traffic between daemons: small datagrams that tell who
-// is alive and what it has sent where, and calls for what is larger. What is
-// told is a hint that later messages replace; nothing is agreed on here.
+// Package mesh exchanges state between daemons. Heartbeats over UDP carry liveness and
+// load; HTTP calls carry larger data such as views and configurations. Everything a
+// daemon sends is a hint that a later message replaces: the package reaches no
+// agreement between daemons.
 package mesh
 
 import (
@@ -22,163 +23,183 @@
 	"corianderhub.dev/corianderhub/internal/core/quarantine"
 )
 
-// Beat is what a daemon tells the others at short intervals. Numbers of fields
-// are never given again with another meaning: daemons of two versions run
-// together while they are replaced. 14 was the load in an earlier form, 20 the IDs
-// of endpoints that left.
+// Beat is the message that a daemon sends to the other daemons at short intervals.
+// Field numbers are never reused with another meaning, because daemons of two versions
+// run together during an upgrade. Number 14 was the load in an earlier encoding, 20
+// the IDs of departed endpoints.
 type Beat struct {
-	// IP identifies the daemon, Started the process on it.
+	// IP identifies the daemon. Started identifies the process on it: its start time in
+	// nanoseconds since the Unix epoch. Number is the sequence number of the heartbeat
+	// within the process.
 	IP         string `cbor:"1,keyasint"`
 	Started    int64  `cbor:"2,keyasint"`
 	Number     uint64 `cbor:"3,keyasint"`
 	Name       string `cbor:"4,keyasint"`
 	DataCenter string `cbor:"5,keyasint"`
-	// Callers is the address for callers; Taking is set while it may be used.
+	// Callers is the address that callers connect to. Taking is set while the daemon
+	// accepts requests there.
 	Callers string `cbor:"6,keyasint"`
 	Taking  bool   `cbor:"7,keyasint,omitempty"`
-	// Steward is set by the daemon that holds the lease of that term.
+	// Steward is set by the daemon that holds the steward lease. Term is the term of
+	// that lease.
 	Steward bool  `cbor:"8,keyasint,omitempty"`
 	Term    int64 `cbor:"9,keyasint,omitempty"`
-	// View counts the steward's views of the term.
+	// View is the sequence number of the steward's current view within the term.
 	View int64 `cbor:"10,keyasint,omitempty"`
-	// Config is the store's revision of the configuration in force.
+	// Config is the store's revision of the configuration in force, 0 for none.
 	Config int64 `cbor:"11,keyasint,omitempty"`
-	// Age is how long ago the store last confirmed what the daemon knows.
+	// Age is the time since the store last confirmed the daemon's state.
 	Age time.Duration `cbor:"12,keyasint,omitempty"`
-	// Served is set once callers have sent requests.
+	// Served is set once the daemons have received a request from a caller.
 	Served bool `cbor:"13,keyasint,omitempty"`
-	// Work is what daemons have to do with groups; WorkOf says which daemons.
+	// Work is the load that requests in flight put on groups. WorkOf says whose
+	// requests it counts.
 	Work   dispatch.Work `cbor:"27,keyasint,omitzero"`
 	WorkOf WorkOf        `cbor:"21,keyasint,omitempty"`
-	// HeardTerm and HeardNumber name the last beat of a steward that the daemon
-	// heard. With them it promises not to look at the lease for a while; they
-	// are 0 while it does.
+	// HeardTerm and HeardNumber acknowledge the last heartbeat that the daemon received
+	// from a steward. The acknowledgment promises the steward that the daemon will not
+	// try to acquire the lease for a while. Both are 0 while the daemon makes no such
+	// promise.
 	HeardTerm   int64  `cbor:"16,keyasint,omitempty"`
 	HeardNumber uint64 `cbor:"17,keyasint,omitempty"`
-	// HeardFor is how long it promises that, from when that beat was sent.
+	// HeardFor is the duration of the promise, counted from the time at which the
+	// acknowledged heartbeat was sent.
 	HeardFor time.Duration `cbor:"30,keyasint,omitempty"`
-	// Uptime is how long ago the process started.
+	// Uptime is the time since the process started.
 	Uptime time.Duration `cbor:"19,keyasint,omitempty"`
-	// Leaving daemons will not become steward any more.
+	// Leaving is set while the daemon shuts down. It does not become steward any more.
 	Leaving bool `cbor:"18,keyasint,omitempty"`
-	// Gone are endpoints that the daemon has lately seen leave at the store.
+	// Gone lists endpoints whose departure the daemon has recently seen at the store.
 	Gone []catalog.Instance `cbor:"28,keyasint,omitempty"`
-	// Suspects are groups that stand still.
+	// Suspects lists stalled groups.
 	Suspects []Suspect `cbor:"15,keyasint,omitempty"`
-	// Advancing are groups that the daemon suspected and whose streams go on.
+	// Advancing lists groups that the daemon reported as stalled and whose streams make
+	// progress again.
 	Advancing []Suspect `cbor:"29,keyasint,omitempty"`
-	// Ended and Answered are what the daemon has seen of requests under which endpoints
-	// end. As with work, all are told where daemons are few, and the steward else.
+	// Ended and Answered report endpoint crashes with the requests in flight at the
+	// time, and completions of such requests. They go to all daemons in direct mode and
+	// otherwise to the steward alone, like Work.
 	Ended    []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
 	Answered []quarantine.Completion `cbor:"32,keyasint,omitempty"`
-	// Quarantine is the digest of the requests that it has quarantined.
+	// Quarantine is the digest of the daemon's quarantined requests.
 	Quarantine uint64 `cbor:"33,keyasint,omitempty"`
-	// Backpressure is what endpoints said of how much they take: to all where daemons are
-	// few, and to the steward else, which tells it to all.
+	// Backpressure holds the notices of endpoints about how much load they accept. In
+	// direct mode they go to all daemons, otherwise to the steward, which forwards them
+	// to all.
 	Backpressure []backpressure.Notice `cbor:"34,keyasint,omitempty"`
 	// Follows is set while the daemon follows the store itself.
 	Follows bool `cbor:"26,keyasint,omitempty"`
-	// Sound are groups that were suspected and whose members have all answered.
+	// Sound lists groups that were reported as stalled and whose members have all
+	// answered since.
 	Sound []Suspect `cbor:"24,keyasint,omitempty"`
-	// Power is the daemon's part of a processor, in thousandths of a core.
+	// Power is the daemon's CPU share, in thousandths of a core.
 	Power int `cbor:"25,keyasint,omitempty"`
-	// Silent are daemons that the steward does not hear any more.
+	// Silent lists the IP addresses of daemons from which the steward receives no
+	// heartbeats.
 	Silent []string `cbor:"22,keyasint,omitempty"`
-	// Change makes the steward's view of the one before; it is told once, and
-	// whoever misses it fetches the view.
+	// Change is the difference between the steward's view and the previous one. It is
+	// sent once; a daemon that misses it fetches the whole view.
 	Change *catalog.Change `cbor:"23,keyasint,omitempty"`
 }
 
-// WorkOf says whose work a beat tells.
+// WorkOf says whose work a heartbeat contains.
 type WorkOf uint8
 
-// Whose work a beat tells.
+// Values of WorkOf.
 const (
-	// WorkNone means that the beat says nothing of work.
+	// WorkNone means that the heartbeat contains no work.
 	WorkNone WorkOf = iota
-	// WorkOwn is the sender's.
+	// WorkOwn means the work of the sender.
 	WorkOwn
-	// WorkRelayed is that of all daemons but the receiver.
+	// WorkRelayed means the work of all daemons except the receiver, summed by the
+	// steward.
 	WorkRelayed
 )
 
-// Suspect names a group whose requests stand still.
+// Suspect identifies a group in one of its epochs.
 type Suspect struct {
 	Group string `cbor:"1,keyasint"`
 	Epoch int64  `cbor:"2,keyasint"`
 }
 
 const (
-	// maxDatagram fits one packet of most networks with room to spare; larger
-	// ones are sent in fragments, which is only a loss of time.
-	maxDatagram = 60 << 10
-	// aliveFor is how long a daemon counts as alive after its last beat.
-	aliveFor = 900 * time.Millisecond
-	// forgetAfter is how long silent daemons are still sent beats to, since
-	// they may be behind a cut.
-	forgetAfter = 10 * time.Minute
-	// silentEvery is the interval of beats to daemons that are silent.
-	silentEvery = time.Second
+	// maxDatagramBytes bounds a received datagram, which UDP limits to 64 KB. Most
+	// heartbeats fit into one packet; the network fragments larger ones, which only
+	// costs time.
+	maxDatagramBytes = 60 << 10
+	// aliveTimeout is the minimum time for which a daemon counts as alive after its
+	// last heartbeat.
+	aliveTimeout = 900 * time.Millisecond
+	// deadRetention is how long heartbeats are still sent to unresponsive daemons,
+	// which may be alive behind a network partition.
+	deadRetention = 10 * time.Minute
+	// unresponsiveInterval is the interval between heartbeats to an unresponsive
+	// daemon, and the pause after a read error.
+	unresponsiveInterval = time.Second
 )
 
-// Peer is another daemon.
+// Peer is the state of another daemon: its last heartbeat and local timestamps.
 type Peer struct {
 	Beat
-	// At is when the last beat came; zero before the first.
+	// At is when the last heartbeat arrived. It is zero before the first one.
 	At time.Time
-	// known is when the peer was heard of, sent when it was last sent a beat.
-	known, sent time.Time
+	// addedAt is when the peer became known, sentAt when the last heartbeat was sent to
+	// it.
+	addedAt, sentAt time.Time
 }
 
-// Mesh sends and receives beats. Set the exported fields before Run.
+// Mesh sends and receives heartbeats. Set the exported fields before Run.
 type Mesh struct {
 	Clock clock.Clock
 	Log   *slog.Logger
 	Conn  *net.UDPConn
-	// IP and DataCenter are the daemon's own; Port is that of all daemons.
+	// IP and DataCenter are those of this daemon. Port is the UDP port, the same on all
+	// daemons.
 	IP, DataCenter string
 	Port           int
-	// OnBeat is called for each new beat of another daemon.
+	// OnBeat is called for each heartbeat that Accept takes.
 	OnBeat func(Beat)
 
 	mu    sync.Mutex
 	peers map[string]*Peer
-	// deputy is set while the daemon follows the store for its data centre.
+	// deputy is set while this daemon follows the store on behalf of its data centre.
 	deputy bool
-	// steward is the steward's address, silent what it told in its last beat.
-	steward string
-	silent  map[string]bool
-	// stewardSince is when the steward became known.
+	// steward is the IP address of the steward, "" if unknown. unresponsive holds the
+	// daemons that its last heartbeat listed as unresponsive.
+	steward      string
+	unresponsive map[string]bool
+	// stewardSince is when the current value of steward was set.
 	stewardSince time.Time
 }
 
-// The traffic of beats, in bytes.
+// Heartbeat traffic, in bytes.
 var (
-	sentBytes  = metrics.NewCounter(`corianderhub_beat_bytes_total{way="sent"}`)
-	heardBytes = metrics.NewCounter(`corianderhub_beat_bytes_total{way="heard"}`)
+	sentBytes     = metrics.NewCounter(`corianderhub_beat_bytes_total{way="sent"}`)
+	receivedBytes = metrics.NewCounter(`corianderhub_beat_bytes_total{way="heard"}`)
 )
 
-// Run receives beats until the socket is closed.
+// Run receives heartbeats until ctx ends, and then closes the socket. It always
+// returns nil.
 func (me *Mesh) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { me.Conn.Close() })
 	defer stop()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		num, _, err := me.Conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			me.Log.Warn("mesh: datagram not read.", "cause", err.Error())
-			if me.Clock.Sleep(ctx, silentEvery) != nil {
+			me.Log.Warn("mesh: cannot read datagram.", "cause", err.Error())
+			if me.Clock.Sleep(ctx, unresponsiveInterval) != nil {
 				return nil
 			}
 			continue
 		}
-		heardBytes.Add(num)
+		receivedBytes.Add(num)
 		be, err := decode(buf[:num])
 		if err != nil {
-			me.Log.Warn("mesh: datagram not understood.", "cause", err.Error())
+			me.Log.Warn("mesh: cannot decode datagram.", "cause", err.Error())
 			continue
 		}
 		if me.Accept(be) {
@@ -187,7 +208,9 @@
 	}
 }
 
-// Accept notes a beat, unless a later one of the daemon has come before it.
+// Accept records a heartbeat of another daemon and returns true. It ignores a
+// heartbeat with an invalid address or that of this daemon, and one that is not newer
+// than the last from its sender, and returns false.
 func (me *Mesh) Accept(be Beat) bool {
 	if _, err := netip.ParseAddr(be.IP); err != nil || be.IP == me.IP {
 		return false
@@ -199,33 +222,35 @@
 	if be.Started < pe.Started || be.Started == pe.Started && be.Number <= pe.Number {
 		return false
 	}
-	if pa := me.pace(); !pa.heardLately(be.IP, pe, now) {
+	if pa := me.intervals(); !pa.isAlive(be.IP, pe, now) {
 		level := slog.LevelInfo
 		if !pa.direct {
-			// Each of 195 daemons would log each start of another one.
+			// With 195 daemons, each of them would log every start of another one.
 			level = slog.LevelDebug
 		}
 		me.Log.Log(context.Background(), level, "mesh: daemon joined.", "daemon", be.Name, "ip", be.IP)
 	}
 	pe.Beat, pe.At = be, now
 	pe.Work, pe.Change = dispatch.Work{}, nil
-	me.hearSilent(be)
+	me.applyUnresponsive(be)
 	return true
 }
 
+// add returns the peer with that address and creates it if necessary. me.mu must be
+// held.
 func (me *Mesh) add(ip string, now time.Time) *Peer {
 	if me.peers == nil {
 		me.peers = make(map[string]*Peer)
 	}
 	pe := me.peers[ip]
 	if pe == nil {
-		pe = &Peer{known: now}
+		pe = &Peer{addedAt: now}
 		me.peers[ip] = pe
 	}
 	return pe
 }
 
-// Know adds daemons that were heard of.
+// Know adds the daemons with these addresses as peers. It ignores invalid addresses.
 func (me *Mesh) Know(ips []string) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
@@ -236,40 +261,41 @@
 	}
 }
 
-// Known returns the addresses of all daemons, with the own one.
+// Known returns the IP addresses of all known daemons, including this one.
 func (me *Mesh) Known() []string {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	return append(slices.Sorted(maps.Keys(me.peers)), me.IP)
 }
 
-// Alive returns the daemons that were heard lately, by address.
+// Alive returns the other daemons that count as alive, sorted by address: those with a
+// recent heartbeat that the steward does not list as unresponsive.
 func (me *Mesh) Alive() []Peer {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
-	pa := me.pace()
+	pa := me.intervals()
 	var alive []Peer
 	for _, ip := range slices.Sorted(maps.Keys(me.peers)) {
-		if pe := me.peers[ip]; pa.heardLately(ip, pe, now) && !me.silent[ip] {
+		if pe := me.peers[ip]; pa.isAlive(ip, pe, now) && !me.unresponsive[ip] {
 			alive = append(alive, *pe)
 		}
 	}
 	return alive
 }
 
-// HeardWithin returns the daemons that were heard within a time, or within some
-// of their intervals where those are longer.
+// HeardWithin returns the daemons whose last heartbeat is younger than span, or than
+// maxMissedHeartbeats intervals if that is longer.
 func (me *Mesh) HeardWithin(span time.Duration) []Peer {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
-	pa := me.pace()
-	var heard []Peer
+	pa := me.intervals()
+	var recent []Peer
 	for _, pe := range me.peers {
-		if !pe.At.IsZero() && now.Sub(pe.At) < max(span, aliveBeats*pa.between(pe)) {
-			heard = append(heard, *pe)
+		if !pe.At.IsZero() && now.Sub(pe.At) < max(span, maxMissedHeartbeats*pa.peerInterval(pe)) {
+			recent = append(recent, *pe)
 		}
 	}
-	return heard
+	return recent
 }
--- a/internal/mesh/call.go
+++ b/internal/mesh/call.go
@@ -19,40 +19,44 @@
 	"corianderhub.dev/corianderhub/internal/core/quarantine"
 )
 
-// Paths of the calls between daemons.
+// Paths of the HTTP calls between daemons.
 const (
 	PathView    = "/peer/view"
 	PathConfig  = "/peer/config"
 	PathDaemons = "/peer/daemons"
-	// PathQuarantine is that of the requests that are quarantined.
+	// PathQuarantine returns the quarantined requests.
 	PathQuarantine = "/peer/quarantine"
-	// PathBackpressure is that of what endpoints said of how much they take.
+	// PathBackpressure returns the notices of endpoints about how much load they
+	// accept.
 	PathBackpressure = "/peer/backpressure"
-	// headerRevision carries the store's revision of a configuration.
+	// headerRevision is the header with the store's revision of a configuration.
 	headerRevision = "Revision"
 )
 
 const (
-	// callTimeout bounds a call to another daemon; one takes some 3 ms.
+	// callTimeout bounds a call to another daemon, which usually takes about 3 ms.
 	callTimeout = 400 * time.Millisecond
-	// maxCallAnswer bounds an answer: a configuration is at most about 1 MB.
-	maxCallAnswer = 4 << 20
+	// maxResponseBytes bounds a response body. The largest one, a configuration, has at
+	// most about 1 MB.
+	maxResponseBytes = 4 << 20
 )
 
-// Client calls other daemons.
+// Client makes HTTP calls to other daemons.
 type Client struct {
-	// Port is that of all daemons' calls.
+	// Port is the TCP port for calls, the same on all daemons.
 	Port   int
 	client http.Client
 }
 
-// NewClient returns a client for daemons that listen on that port.
+// NewClient returns a client for daemons that listen on port.
 func NewClient(port int) *Client {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return &Client{Port: port, client: http.Client{Timeout: callTimeout, Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second}}}
 }
 
+// get returns the body and the headers of a 200 response, and an error for any other
+// status.
 func (cl *Client) get(ctx context.Context, ip, path string) ([]byte, http.Header, error) {
 	target := "http://" + net.JoinHostPort(ip, strconv.Itoa(cl.Port)) + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -64,68 +68,69 @@
 		return nil, nil, eris.Wrap(err, "peer call")
 	}
 	defer rsp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(rsp.Body, maxCallAnswer))
+	raw, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "peer call")
 	}
 	if rsp.StatusCode != http.StatusOK {
-		return nil, nil, eris.Errorf("peer call: status %d", rsp.StatusCode)
+		return nil, nil, eris.Errorf("peer call: got status %d, want 200", rsp.StatusCode)
 	}
 	return raw, rsp.Header, nil
 }
 
-// View fetches a daemon's view.
+// View fetches the view of the daemon at ip.
 func (cl *Client) View(ctx context.Context, ip string) (*catalog.View, error) {
 	raw, _, err := cl.get(ctx, ip, PathView)
 	if err != nil {
 		return nil, err
 	}
 	vi := new(catalog.View)
-	return vi, eris.Wrap(json.Unmarshal(raw, vi), "view")
+	return vi, eris.Wrap(json.Unmarshal(raw, vi), "decode peer view")
 }
 
-// Config fetches the configuration that a daemon has in force, as the store
-// holds it, and its revision.
+// Config fetches the configuration in force on the daemon at ip, in its stored
+// encoding, and its revision in the store.
 func (cl *Client) Config(ctx context.Context, ip string) ([]byte, int64, error) {
 	raw, header, err := cl.get(ctx, ip, PathConfig)
 	if err != nil {
 		return nil, 0, err
 	}
 	rev, err := strconv.ParseInt(header.Get(headerRevision), 10, 64)
-	return raw, rev, eris.Wrap(err, "configuration")
+	return raw, rev, eris.Wrap(err, "peer configuration: invalid revision header")
 }
 
-// Daemons fetches the addresses of the daemons that another one knows.
+// Daemons fetches the IP addresses of the daemons that the daemon at ip knows.
 func (cl *Client) Daemons(ctx context.Context, ip string) ([]string, error) {
 	raw, _, err := cl.get(ctx, ip, PathDaemons)
 	if err != nil {
 		return nil, err
 	}
 	var ips []string
-	return ips, eris.Wrap(json.Unmarshal(raw, &ips), "daemons")
+	return ips, eris.Wrap(json.Unmarshal(raw, &ips), "decode peer daemons")
 }
 
-// Quarantine fetches the requests that another daemon has quarantined.
+// Quarantine fetches the quarantined requests of the daemon at ip.
 func (cl *Client) Quarantine(ctx context.Context, ip string) ([]quarantine.Entry, error) {
 	raw, _, err := cl.get(ctx, ip, PathQuarantine)
 	if err != nil {
 		return nil, err
 	}
 	var entries []quarantine.Entry
-	return entries, eris.Wrap(json.Unmarshal(raw, &entries), "quarantine")
+	return entries, eris.Wrap(json.Unmarshal(raw, &entries), "decode peer quarantine")
 }
 
-// Backpressure fetches what another daemon knows of what endpoints said.
+// Backpressure fetches the backpressure notices that the daemon at ip holds.
 func (cl *Client) Backpressure(ctx context.Context, ip string) ([]backpressure.Notice, error) {
 	raw, _, err := cl.get(ctx, ip, PathBackpressure)
 	if err != nil {
 		return nil, err
 	}
-	var words []backpressure.Notice
-	return words, eris.Wrap(json.Unmarshal(raw, &words), "backpressure")
+	var notices []backpressure.Notice
+	return notices, eris.Wrap(json.Unmarshal(raw, &notices), "decode peer backpressure")
 }
 
-// Server answers other daemons' calls.
+// Server handles the HTTP calls of other daemons. Its functions provide the data; set
+// all of them before use.
 type Server struct {
 	View         func() *catalog.View
 	Config       func() (raw []byte, revision int64)
@@ -133,10 +138,10 @@
 	Quarantine   func() []quarantine.Entry
 	Backpressure func() []backpressure.Notice
 
-	view, config packed
+	view, config cachedResponse
 }
 
-// Handler returns the calls' handler.
+// Handler returns the HTTP handler for all calls.
 func (se *Server) Handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathView, se.sendView)
@@ -147,14 +152,14 @@
 	return mux
 }
 
-// sendJSON answers with a small value.
+// sendJSON writes a small value as JSON, uncompressed.
 func sendJSON(w http.ResponseWriter, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(raw) // The other side sees that the answer is short.
+	_, _ = w.Write(raw) // The client detects a truncated response.
 }
 
 func (se *Server) sendView(w http.ResponseWriter, _ *http.Request) {
@@ -172,30 +177,32 @@
 	se.config.send(w, rev, func() ([]byte, error) { return raw, nil })
 }
 
-// packed keeps the last answer of a kind compressed. All daemons fetch the same
-// one at about the same time, from a link that may be slow: a view of 300 VMs
+// cachedResponse holds the last response of one kind, compressed. All daemons fetch
+// the same one at about the same time, possibly over a slow link; a view of 300 VMs
 // shrinks to a quarter.
-type packed struct {
+type cachedResponse struct {
 	mu  sync.Mutex
-	of  any
+	key any
 	raw []byte
 }
 
-// send answers with what encode returns; of tells apart what is encoded.
-func (pa *packed) send(w http.ResponseWriter, of any, encode func() ([]byte, error)) {
-	raw, err := pa.pack(of, encode)
+// send writes the compressed result of encode. It calls encode only if key, which
+// identifies the content, differs from that of the cached response.
+func (pa *cachedResponse) send(w http.ResponseWriter, key any, encode func() ([]byte, error)) {
+	raw, err := pa.compress(key, encode)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
-	_, _ = w.Write(raw) // The other side sees that the answer is short.
+	_, _ = w.Write(raw) // The client detects a truncated response.
 }
 
-func (pa *packed) pack(of any, encode func() ([]byte, error)) ([]byte, error) {
+// compress returns the compressed response for key, from the cache if it is there.
+func (pa *cachedResponse) compress(key any, encode func() ([]byte, error)) ([]byte, error) {
 	pa.mu.Lock()
 	defer pa.mu.Unlock()
-	if pa.raw != nil && pa.of == of {
+	if pa.raw != nil && pa.key == key {
 		return pa.raw, nil
 	}
 	raw, err := encode()
@@ -213,6 +220,6 @@
 	if err := zw.Close(); err != nil {
 		return nil, err
 	}
-	pa.of, pa.raw = of, buf.Bytes()
+	pa.key, pa.raw = key, buf.Bytes()
 	return pa.raw, nil
 }
--- a/internal/mesh/pace.go
+++ b/internal/mesh/pace.go
@@ -2,154 +2,164 @@
 
 import "time"
 
-// Up to directMost other daemons, everybody tells everybody everything. With
-// more of them, each daemon tells its load to the steward alone, which tells
-// everyone the sum; beats between all others only say who is alive, to the own
-// data centre more often than to others. What a daemon sends and hears then
-// grows with the daemons of its data centre instead of with all of them times
-// the groups.
-const directMost = 16
+// maxDirectPeers is the largest number of other daemons for direct mode, in which
+// every daemon sends its full state to every other one. With more peers, each daemon
+// sends its load to the steward alone, which sends the sum to all. Heartbeats between
+// other pairs of daemons then only signal liveness, more often within a data centre
+// than between data centres. The traffic of a daemon then grows with the number of
+// daemons in its data centre instead of with all daemons times the groups.
+const maxDirectPeers = 16
 
 const (
-	// directInterval is the time between beats where all tell all. What the
-	// others sent since their last beat is missing from predictions.
+	// directInterval is the interval between heartbeats in direct mode. Predictions
+	// lack the requests that other daemons have sent since their last heartbeat.
 	directInterval = 50 * time.Millisecond
-	// directPerSecond and the other rates are the beats a second, to all daemons
-	// together, beyond which the interval grows.
+	// directPerSecond and the other rates limit the heartbeats per second to all
+	// daemons together. Intervals grow so that the limit holds.
 	directPerSecond = 200
-	// stewardInterval is the time between the steward's beats to a daemon, which
-	// is to stay far below the silence after which daemons look at the lease.
+	// stewardInterval is the interval between the steward's heartbeats to one daemon.
+	// It must be far shorter than the time without heartbeats after which daemons try
+	// to acquire the lease.
 	stewardInterval  = 80 * time.Millisecond
 	stewardPerSecond = 1000
-	// loadInterval is the time between a daemon's beats to the steward. The
-	// steward hears loadPerSecond of them at most.
+	// loadInterval is the interval between a daemon's heartbeats to the steward, which
+	// receives at most loadPerSecond of them.
 	loadInterval  = 100 * time.Millisecond
 	loadPerSecond = 700
-	// nearInterval is the time between beats within a data centre, farInterval
-	// to others; the rates bound them where there are many.
-	nearInterval  = 400 * time.Millisecond
-	nearPerSecond = 40
-	farInterval   = time.Second
-	farPerSecond  = 20
-	// aliveBeats is how many beats in a row may be missing from a daemon that
-	// counts as alive; packets are lost, and machines slow for a moment.
-	aliveBeats = 3
+	// localInterval is the interval between heartbeats within a data centre,
+	// remoteInterval between data centres. The rates bound them where there are many
+	// daemons.
+	localInterval   = 400 * time.Millisecond
+	localPerSecond  = 40
+	remoteInterval  = time.Second
+	remotePerSecond = 20
+	// maxMissedHeartbeats is the number of intervals without a heartbeat for which a
+	// daemon still counts as alive. Packets get lost, and machines stall for a moment.
+	maxMissedHeartbeats = 3
 )
 
-// paced is an interval that grows so that num daemons get perSecond beats in
-// all.
-func paced(interval time.Duration, num, perSecond int) time.Duration {
+// scaledInterval returns the interval, extended if necessary so that num daemons
+// receive at most perSecond heartbeats per second in total.
+func scaledInterval(interval time.Duration, num, perSecond int) time.Duration {
 	return max(interval, time.Duration(num)*time.Second/time.Duration(perSecond))
 }
 
-// Direct tells whether all daemons tell each other everything.
+// Direct reports whether the mesh is in direct mode, in which all daemons send each
+// other their full state.
 func (me *Mesh) Direct() bool {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	return len(me.peers) <= directMost
+	return len(me.peers) <= maxDirectPeers
 }
 
-// LoadDelay is how old what other daemons tell of their load is when it counts,
-// on average: half of each interval on its way, and the ways themselves.
+// LoadDelay returns the average age of the load reports of other daemons: half of the
+// interval of each hop plus the latency of each hop.
 func (me *Mesh) LoadDelay() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	pa := me.pace()
+	pa := me.intervals()
 	switch {
 	case pa.direct:
-		return pa.each/2 + wayDelay
+		return pa.uniform/2 + reportLatency
 	case pa.stewardIP == pa.ownIP:
-		return pa.load/2 + wayDelay
+		return pa.load/2 + reportLatency
 	}
-	return (pa.load+pa.steward)/2 + 2*wayDelay
+	return (pa.load+pa.steward)/2 + 2*reportLatency
 }
 
-// ToldWithin is the time between beats that tell a daemon's own work, to all daemons or to
-// the steward.
+// ToldWithin returns the interval between heartbeats with this daemon's own work,
+// which go to all daemons or to the steward.
 func (me *Mesh) ToldWithin() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	pa := me.pace()
-	return max(pa.each, pa.load)
+	pa := me.intervals()
+	return max(pa.uniform, pa.load)
 }
 
-// wayDelay is the time that a beat takes: until the next look whether one is
-// due, and the way.
-const wayDelay = 15 * time.Millisecond
+// reportLatency is the delay of one heartbeat: the wait until the next check for due
+// heartbeats, and the network latency.
+const reportLatency = 15 * time.Millisecond
 
-// SetSteward tells which daemon is the steward; "" when none is known.
+// SetSteward sets the IP address of the steward, "" if none is known.
 func (me *Mesh) SetSteward(ip string) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	if me.steward != ip {
-		me.steward, me.silent, me.stewardSince = ip, nil, me.Clock.Now()
+		me.steward, me.unresponsive, me.stewardSince = ip, nil, me.Clock.Now()
 	}
 }
 
-// SetDeputy tells whether this daemon follows the store for its data centre. The others
-// there rely on its word of how fresh its knowledge is, so they are told often: with one
-// beat a second it was at times older than what they believe.
+// SetDeputy sets whether this daemon follows the store on behalf of its data centre.
+// The other daemons there rely on the age of state that it reports, so it sends them
+// heartbeats more often: at one per second, the reported age was at times too old for
+// them to accept.
 func (me *Mesh) SetDeputy(on bool) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	me.deputy = on
 }
 
-// pace holds the times between beats, as the number of daemons has it now.
-type pace struct {
-	direct              bool
-	each, steward, load time.Duration
-	// near and far are between daemons of which neither is the steward, nearOut is what
-	// this one sends.
-	near, nearOut, far      time.Duration
-	ownIP, stewardIP, ownDC string
+// intervals holds the intervals between heartbeats for the current number of daemons.
+type intervals struct {
+	// direct is set in direct mode, in which uniform applies to all daemons. Otherwise
+	// steward applies to heartbeats of the steward, load to those sent to it.
+	direct                 bool
+	uniform, steward, load time.Duration
+	// local and remote apply between daemons of which neither is the steward, in the
+	// same and in different data centres. localSend replaces local for heartbeats that
+	// this daemon sends.
+	local, localSend, remote time.Duration
+	ownIP, stewardIP, ownDC  string
 }
 
-func (me *Mesh) pace() pace {
+// intervals computes the current intervals. me.mu must be held.
+func (me *Mesh) intervals() intervals {
 	num := len(me.peers)
-	pa := pace{direct: num <= directMost, ownIP: me.IP, stewardIP: me.steward, ownDC: me.DataCenter}
+	pa := intervals{direct: num <= maxDirectPeers, ownIP: me.IP, stewardIP: me.steward, ownDC: me.DataCenter}
 	if pa.direct {
-		pa.each = paced(directInterval, num, directPerSecond)
+		pa.uniform = scaledInterval(directInterval, num, directPerSecond)
 		return pa
 	}
-	near := 0
+	numLocal := 0
 	for _, pe := range me.peers {
 		if pe.DataCenter == me.DataCenter {
-			near++
+			numLocal++
 		}
 	}
-	pa.steward = paced(stewardInterval, num, stewardPerSecond)
-	pa.load = paced(loadInterval, num, loadPerSecond)
-	pa.near = paced(nearInterval, near, nearPerSecond)
-	pa.nearOut = pa.near
+	pa.steward = scaledInterval(stewardInterval, num, stewardPerSecond)
+	pa.load = scaledInterval(loadInterval, num, loadPerSecond)
+	pa.local = scaledInterval(localInterval, numLocal, localPerSecond)
+	pa.localSend = pa.local
 	if me.deputy {
-		pa.nearOut = nearInterval
+		pa.localSend = localInterval
 	}
-	pa.far = paced(farInterval, num, farPerSecond)
+	pa.remote = scaledInterval(remoteInterval, num, remotePerSecond)
 	return pa
 }
 
-// toward is the time between beats to a daemon.
-func (pa *pace) toward(ip string, pe *Peer) time.Duration {
-	between := pa.between(pe)
+// sendInterval returns the interval between heartbeats from this daemon to another
+// one.
+func (pa *intervals) sendInterval(ip string, pe *Peer) time.Duration {
+	between := pa.peerInterval(pe)
 	if pe.DataCenter == pa.ownDC {
-		between = pa.nearOut
+		between = pa.localSend
 	}
 	return pa.interval(ip, pa.steward, pa.load, between)
 }
 
-// from is the time between beats of a daemon.
-func (pa *pace) from(ip string, pe *Peer) time.Duration {
-	return pa.interval(ip, pa.load, pa.steward, pa.between(pe))
+// receiveInterval returns the interval between heartbeats from another daemon to this
+// one.
+func (pa *intervals) receiveInterval(ip string, pe *Peer) time.Duration {
+	return pa.interval(ip, pa.load, pa.steward, pa.peerInterval(pe))
 }
 
-// interval is the time between beats of one direction between this daemon and
-// another one: asSteward where this daemon is the steward, withSteward where the
-// other one is, between where neither is.
-func (pa *pace) interval(ip string, asSteward, withSteward, between time.Duration) time.Duration {
+// interval selects the interval for one direction between this daemon and another one:
+// asSteward if this daemon is the steward, withSteward if the other one is, and
+// between if neither is.
+func (pa *intervals) interval(ip string, asSteward, withSteward, between time.Duration) time.Duration {
 	switch {
 	case pa.direct:
-		return pa.each
+		return pa.uniform
 	case pa.stewardIP == pa.ownIP:
 		return asSteward
 	case pa.stewardIP == ip:
@@ -158,52 +168,56 @@
 	return between
 }
 
-// between is the time between beats of two daemons of which neither is the
-// steward.
-func (pa *pace) between(pe *Peer) time.Duration {
+// peerInterval returns the interval between heartbeats of two daemons of which neither
+// is the steward.
+func (pa *intervals) peerInterval(pe *Peer) time.Duration {
 	if pe.DataCenter == pa.ownDC {
-		return pa.near
+		return pa.local
 	}
-	return pa.far
+	return pa.remote
 }
 
-func (pa *pace) heardLately(ip string, pe *Peer, now time.Time) bool {
-	return !pe.At.IsZero() && now.Sub(pe.At) < max(aliveFor, aliveBeats*pa.from(ip, pe))
+// isAlive reports whether a daemon's last heartbeat is recent enough for it to count
+// as alive.
+func (pa *intervals) isAlive(ip string, pe *Peer, now time.Time) bool {
+	return !pe.At.IsZero() && now.Sub(pe.At) < max(aliveTimeout, maxMissedHeartbeats*pa.receiveInterval(ip, pe))
 }
 
-// Audience is who is to get a beat.
+// Audience selects the recipients of a heartbeat.
 type Audience int
 
-// Audiences of a beat.
+// Values of Audience.
 const (
-	// ToDue are the daemons that have not had one for their time.
+	// ToDue selects the daemons whose interval has passed.
 	ToDue Audience = iota
-	// ToSteward is the steward besides; where all tell all, it is everyone.
+	// ToSteward selects the steward in addition to those; in direct mode it selects all
+	// daemons that are not unresponsive.
 	ToSteward
-	// ToEveryone are all daemons that are heard.
+	// ToEveryone selects all daemons except unresponsive ones that are not due.
 	ToEveryone
 )
 
-// dueTo tells whether a daemon is to get a beat now. Daemons that are silent
-// are sent beats all the same, less often: they may be behind a cut.
-func (pa *pace) dueTo(ip string, pe *Peer, now time.Time, to Audience) bool {
-	since := now.Sub(pe.sent)
-	// A new steward has heard most daemons seldom until now, and they are to hear
-	// of it at once.
-	seldom := max(aliveFor, aliveBeats*max(pa.from(ip, pe), pa.between(pe)))
+// isDue reports whether a heartbeat is to be sent to a daemon now. Unresponsive
+// daemons still get heartbeats, less often, because they may be alive behind a network
+// partition.
+func (pa *intervals) isDue(ip string, pe *Peer, now time.Time, to Audience) bool {
+	since := now.Sub(pe.sentAt)
+	// The timeout allows for the longer of the two intervals. Most daemons have sent to
+	// a new steward at the peer interval so far, and it must notify them at once.
+	timeout := max(aliveTimeout, maxMissedHeartbeats*max(pa.receiveInterval(ip, pe), pa.peerInterval(pe)))
 	switch {
 	case pe.At.IsZero():
-		return since >= silentEvery
-	case now.Sub(pe.At) >= seldom:
-		return since >= max(silentEvery, pa.toward(ip, pe))
+		return since >= unresponsiveInterval
+	case now.Sub(pe.At) >= timeout:
+		return since >= max(unresponsiveInterval, pa.sendInterval(ip, pe))
 	case to == ToEveryone, to == ToSteward && (pa.direct || ip == pa.stewardIP):
 		return true
 	}
-	return since >= pa.toward(ip, pe)
+	return since >= pa.sendInterval(ip, pe)
 }
 
-// tells says which work a daemon is told.
-func (pa *pace) tells(ip string) WorkOf {
+// workFor returns whose work a heartbeat to a daemon contains.
+func (pa *intervals) workFor(ip string) WorkOf {
 	switch {
 	case pa.direct, pa.stewardIP == ip:
 		return WorkOwn
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -17,75 +17,78 @@
 	"corianderhub.dev/corianderhub/internal/core/quarantine"
 )
 
-// crowd is a mesh of one daemon that knows many others, spread over four data
-// centres, all of which it hears all the time.
-type crowd struct {
+// testMesh is the mesh of one daemon with many peers, spread over four data centres,
+// all of which send heartbeats continuously.
+type testMesh struct {
 	*Mesh
 	clock   *clock.Manual
 	started int64
 	number  uint64
 }
 
-func newCrowd(others int) *crowd {
+func newTestMesh(others int) *testMesh {
 	cl := clock.NewManual(time.Unix(1000, 0))
-	cr := &crowd{clock: cl, Mesh: &Mesh{Clock: cl, Log: slog.New(slog.DiscardHandler), IP: "10.0.0.1", DataCenter: "dc-0", Port: 7}}
+	cr := &testMesh{clock: cl, Mesh: &Mesh{Clock: cl, Log: slog.New(slog.DiscardHandler), IP: "10.0.0.1", DataCenter: "dc-0", Port: 7}}
 	for i := range others {
-		cr.hear(i, Beat{})
+		cr.receive(i, Beat{})
 	}
 	return cr
 }
 
-func otherIP(num int) string { return fmt.Sprintf("10.0.%d.%d", 1+num/200, 1+num%200) }
+func peerIP(num int) string { return fmt.Sprintf("10.0.%d.%d", 1+num/200, 1+num%200) }
 
-// hear makes a beat of that daemon come in.
-func (cr *crowd) hear(num int, be Beat) {
+// receive delivers a heartbeat from the peer with that number.
+func (cr *testMesh) receive(num int, be Beat) {
 	cr.number++
-	be.IP, be.DataCenter, be.Number, be.Started = otherIP(num), fmt.Sprint("dc-", num%4), cr.number, cr.started
+	be.IP, be.DataCenter, be.Number, be.Started = peerIP(num), fmt.Sprint("dc-", num%4), cr.number, cr.started
 	cr.Accept(be)
 }
 
-// hearAll makes all others but some be heard.
-func (cr *crowd) hearAll(others int, but ...int) {
+// receiveAll delivers a heartbeat from all peers except some.
+func (cr *testMesh) receiveAll(others int, except ...int) {
 	for i := range others {
-		if !slices.Contains(but, i) {
-			cr.hear(i, Beat{Steward: cr.steward == otherIP(i)})
+		if !slices.Contains(except, i) {
+			cr.receive(i, Beat{Steward: cr.steward == peerIP(i)})
 		}
 	}
 }
 
-// count returns how many beats each daemon is sent in that time.
-func (cr *crowd) count(others int, span time.Duration) map[recipient]int {
+// countSent advances the clock by span and returns the number of heartbeats sent to
+// each recipient.
+func (cr *testMesh) countSent(others int, span time.Duration) map[recipient]int {
 	sent := make(map[recipient]int)
 	for step := range int(span / countStep) {
 		for _, ad := range cr.due(ToDue) {
 			sent[ad]++
 		}
 		if step%20 == 0 {
-			cr.hearAll(others)
+			cr.receiveAll(others)
 		}
 		cr.clock.Advance(countStep)
 	}
 	return sent
 }
 
-// countStep is the interval at which beats are sent when they are due.
+// countStep is the interval between checks for due heartbeats.
 const countStep = 10 * time.Millisecond
 
-func to(num int, tell WorkOf) recipient {
-	return recipient{netip.AddrPortFrom(netip.MustParseAddr(otherIP(num)), 7), tell}
+func recipientOf(num int, work WorkOf) recipient {
+	return recipient{netip.AddrPortFrom(netip.MustParseAddr(peerIP(num)), 7), work}
 }
 
-// Few daemons tell each other of their load directly, many through the
-// steward. Whatever their number, what a daemon sends stays bounded.
-func TestPace(t *testing.T) {
+// Guards against heartbeat traffic that grows without bound: few daemons exchange
+// their load directly, many through the steward, and the rate that a daemon sends at
+// stays bounded whatever their number.
+func TestHeartbeatIntervals(t *testing.T) {
 	tests := []struct {
 		name            string
 		others, steward int
-		// perSecond bounds what is sent in all; load, near and far are the beats
-		// that the daemons 1 (the steward), 4 and 2 are sent in 10 s.
-		perSecond       int
-		load, near, far int
-		loadTells       WorkOf
+		// perSecond bounds the total rate of heartbeats. load, local and remote are the
+		// heartbeats sent to the daemons 1 (the steward), 4 (same data centre) and 2
+		// (other data centre) in 10 s.
+		perSecond           int
+		load, local, remote int
+		loadWork            WorkOf
 	}{
 		{"few", 8, 1, 200, 200, 200, 200, WorkOwn},
 		{"many", 67, 1, 80, 100, 23, 3, WorkOwn},
@@ -95,109 +98,111 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			cr := newCrowd(tc.others)
+			cr := newTestMesh(tc.others)
 			cr.SetSteward(cr.IP)
 			if tc.steward >= 0 {
-				cr.SetSteward(otherIP(tc.steward))
+				cr.SetSteward(peerIP(tc.steward))
 			}
-			sent := cr.count(tc.others, 10*time.Second)
+			sent := cr.countSent(tc.others, 10*time.Second)
 			total := 0
 			for _, num := range sent {
 				total += num
 			}
 			if total > tc.perSecond*10*11/10 {
-				t.Errorf("%d beats in 10 s, want %d at most", total, tc.perSecond*10)
+				t.Errorf("sent %d heartbeats in 10 s, want at most %d", total, tc.perSecond*10)
 			}
 			others := WorkNone
-			if tc.loadTells == WorkRelayed || tc.others <= directMost {
-				others = tc.loadTells
+			if tc.loadWork == WorkRelayed || tc.others <= maxDirectPeers {
+				others = tc.loadWork
 			}
-			for _, want := range []struct{ num, beats int }{{1, tc.load}, {4, tc.near}, {2, tc.far}} {
-				tell := others
+			for _, want := range []struct{ num, beats int }{{1, tc.load}, {4, tc.local}, {2, tc.remote}} {
+				work := others
 				if want.num == 1 {
-					tell = tc.loadTells
+					work = tc.loadWork
 				}
-				if got := sent[to(want.num, tell)]; got < want.beats*8/10 || got > want.beats+2 {
-					t.Errorf("daemon %d got %d beats in 10 s, want some %d; all: %v", want.num, got, want.beats, sent[to(want.num, WorkNone)])
+				if got := sent[recipientOf(want.num, work)]; got < want.beats*8/10 || got > want.beats+2 {
+					t.Errorf("sent daemon %d %d heartbeats in 10 s, want about %d; without work: %v", want.num, got, want.beats, sent[recipientOf(want.num, WorkNone)])
 				}
 			}
 		})
 	}
 }
 
-// A daemon dies among many. Its neighbours hear it seldom and would name it to
-// callers for seconds; the steward, which hears it often, tells them.
-func TestStewardTellsWhoIsSilent(t *testing.T) {
+// Guards against a dead daemon that its peers name to callers for seconds: they
+// receive its heartbeats only at long intervals, so the steward, which receives them
+// often, has to report it as unresponsive. Reports of other daemons do not count.
+func TestStewardReportsUnresponsiveDaemons(t *testing.T) {
 	const others, dead = 67, 4
-	steward, neighbour := newCrowd(others), newCrowd(others)
+	steward, peer := newTestMesh(others), newTestMesh(others)
 	steward.SetSteward(steward.IP)
-	neighbour.SetSteward(otherIP(1))
-	for _, cr := range []*crowd{steward, neighbour} {
-		cr.clock.Advance(stewardSettle)
-		cr.hearAll(others)
+	peer.SetSteward(peerIP(1))
+	for _, cr := range []*testMesh{steward, peer} {
+		cr.clock.Advance(stewardSettleTime)
+		cr.receiveAll(others)
 		cr.clock.Advance(700 * time.Millisecond)
-		cr.hearAll(others, dead)
+		cr.receiveAll(others, dead)
 	}
-	silent := steward.Silent()
-	if !slices.Equal(silent, []string{otherIP(dead)}) {
-		t.Fatalf("silent: %v, want daemon %d alone", silent, dead)
+	unresponsive := steward.Silent()
+	if !slices.Equal(unresponsive, []string{peerIP(dead)}) {
+		t.Fatalf("unresponsive: %v, want only daemon %d", unresponsive, dead)
 	}
 	alive := func() bool {
-		return slices.ContainsFunc(neighbour.Alive(), func(pe Peer) bool { return pe.IP == otherIP(dead) })
+		return slices.ContainsFunc(peer.Alive(), func(pe Peer) bool { return pe.IP == peerIP(dead) })
 	}
 	if !alive() {
-		t.Fatal("a neighbour takes the daemon as dead already, so the test shows nothing")
+		t.Fatal("the peer already counts the daemon as dead before the report of the steward")
 	}
-	neighbour.hear(2, Beat{Steward: true, Silent: silent})
+	peer.receive(2, Beat{Steward: true, Silent: unresponsive})
 	if !alive() {
-		t.Error("believed another daemon than the steward")
+		t.Error("applied the report of a daemon that is not the steward")
 	}
-	neighbour.hear(1, Beat{Steward: true, Silent: silent})
+	peer.receive(1, Beat{Steward: true, Silent: unresponsive})
 	if alive() {
-		t.Error("the dead daemon still counts as alive")
+		t.Error("the dead daemon still counts as alive after the report of the steward")
 	}
-	neighbour.hear(1, Beat{Steward: true})
+	peer.receive(1, Beat{Steward: true})
 	if !alive() {
-		t.Error("the daemon does not count as alive although the steward hears it again")
+		t.Error("the daemon does not count as alive after the steward stopped reporting it")
 	}
 }
 
-// The steward is lost and another daemon takes over. It has heard those of other
-// data centres seconds ago, as they heard it. They hear of it at once, and it
-// does not tell that they are silent.
-func TestNewStewardIsHeardAtOnce(t *testing.T) {
+// Guards against a new steward that ignores daemons of other data centres: their last
+// heartbeats to it are seconds old, because they sent at the interval between data
+// centres. It must notify them at once and must not report them as unresponsive.
+func TestNewStewardNotifiesAllAtOnce(t *testing.T) {
 	const others = 67
-	cr := newCrowd(others)
-	cr.SetSteward(otherIP(1))
-	cr.count(others, time.Second)
+	cr := newTestMesh(others)
+	cr.SetSteward(peerIP(1))
+	cr.countSent(others, time.Second)
 	cr.clock.Advance(2 * time.Second)
 	cr.SetSteward(cr.IP)
 	if got := len(cr.due(ToEveryone)); got != others {
-		t.Errorf("%d daemons hear of the new steward at once, want %d", got, others)
+		t.Errorf("new steward notifies %d daemons at once, want %d", got, others)
 	}
-	if silent := cr.Silent(); len(silent) > 0 {
-		t.Errorf("%d daemons are called silent that were not due to be heard", len(silent))
+	if unresponsive := cr.Silent(); len(unresponsive) > 0 {
+		t.Errorf("%d daemons are reported as unresponsive that were not due to send", len(unresponsive))
 	}
 }
 
-// Who is told what of the load: one datagram for all that are told the same.
-func TestDatagrams(t *testing.T) {
+// Checks the work in the heartbeat for each kind of recipient. Recipients with the
+// same content share one encoding, so a cached one must not go to another kind.
+func TestDatagramWork(t *testing.T) {
 	own := map[string]dispatch.Load{"a": {Requests: 3}}
-	en := beatEncoder{be: Beat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
+	en := heartbeatEncoder{be: Beat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
 		But: func(ip string) dispatch.Work {
 			return dispatch.Work{Loads: map[string]dispatch.Load{ip: {Requests: 1}}, Rates: map[string]float32{"linden": 2.5}}
 		}}}
 	tests := []struct {
-		tell WorkOf
+		work WorkOf
 		want map[string]dispatch.Load
 	}{
 		{WorkOwn, own},
 		{WorkNone, nil},
-		{WorkRelayed, map[string]dispatch.Load{otherIP(1): {Requests: 1}}},
+		{WorkRelayed, map[string]dispatch.Load{peerIP(1): {Requests: 1}}},
 		{WorkOwn, own},
 	}
 	for _, tc := range tests {
-		raw, err := en.datagram(to(1, tc.tell))
+		raw, err := en.datagram(recipientOf(1, tc.work))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -205,8 +210,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if be.WorkOf != tc.tell || len(be.Work.Loads) != len(tc.want) {
-			t.Errorf("told %v: %v, want %v", be.WorkOf, be.Work.Loads, tc.want)
+		if be.WorkOf != tc.work || len(be.Work.Loads) != len(tc.want) {
+			t.Errorf("datagram has work of %v with loads %v, want %v", be.WorkOf, be.Work.Loads, tc.want)
 		}
 		for name, lo := range tc.want {
 			if be.Work.Loads[name] != lo {
@@ -217,42 +222,42 @@
 }
 
 func BenchmarkAnyDue(b *testing.B) {
-	cr := newCrowd(67)
-	cr.SetSteward(otherIP(1))
+	cr := newTestMesh(67)
+	cr.SetSteward(peerIP(1))
 	cr.due(ToEveryone)
 	for b.Loop() {
 		cr.AnyDue()
 	}
 }
 
-// A daemon follows the store for the others of its data centre, which go by what it tells
-// of that. With 39 of them the beats among them are a second apart; this one's must be
-// closer, or the others begin to follow the store too.
-func TestDeputyTellsNearDaemonsOften(t *testing.T) {
+// Guards against daemons that follow the store although a deputy does so for their
+// data centre. They rely on the age of state that it reports; among 39 daemons the
+// usual interval is a second, so a deputy must send more often.
+func TestDeputyHeartbeatInterval(t *testing.T) {
 	const others, span = 160, 4 * time.Second
 	for _, deputy := range []bool{false, true} {
-		cr := newCrowd(others)
+		cr := newTestMesh(others)
 		cr.SetDeputy(deputy)
 		least := others
-		for re, num := range cr.count(others, span) {
-			if near := re.to.Addr().String() == otherIP(0); near {
+		for re, num := range cr.countSent(others, span) {
+			if local := re.to.Addr().String() == peerIP(0); local {
 				least = min(least, num)
 			}
 		}
-		if often := least >= int(span/nearInterval)-1; often != deputy {
-			t.Errorf("deputy %v: %d beats to a daemon nearby in %v", deputy, least, span)
+		if often := least >= int(span/localInterval)-1; often != deputy {
+			t.Errorf("deputy %v: sent %d heartbeats to a daemon of the same data centre in %v", deputy, least, span)
 		}
 	}
 }
 
-// Each server that ends makes news of all requests that it had. Where daemons are many, it
-// goes to the steward alone: sent to all of them it would be most of what they tell.
-func TestEndsAreToldToTheSteward(t *testing.T) {
+// Guards against crash reports that dominate the traffic. A crash reports all requests
+// in flight, so with many daemons the report goes only to the steward.
+func TestCrashesSentOnlyToSteward(t *testing.T) {
 	be := Beat{Ended: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
 		Answered: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
-	for _, tell := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
-		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
-		raw, err := en.datagram(to(0, tell))
+	for _, work := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
+		en := heartbeatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		raw, err := en.datagram(recipientOf(0, work))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -260,28 +265,28 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if tell == WorkOwn {
+		if work == WorkOwn {
 			if diff := cmp.Diff(be.Ended, got.Ended) + cmp.Diff(be.Answered, got.Answered); diff != "" {
-				t.Errorf("told otherwise: %s", diff)
+				t.Errorf("decoded crashes and completions differ: %s", diff)
 			}
 		} else if len(got.Ended)+len(got.Answered) != 0 {
-			t.Errorf("told with %v", tell)
+			t.Errorf("crashes or completions sent with work of %v", work)
 		}
 		if got.Quarantine != be.Quarantine {
-			t.Errorf("digest %d with %v", got.Quarantine, tell)
+			t.Errorf("got quarantine digest %d with work of %v", got.Quarantine, work)
 		}
 	}
 }
 
-// Guards against words of endpoints that don't reach all daemons where they are many: each
-// tells the steward, which tells all. Sent to everyone by everyone they would be most of what
-// is told.
-func TestBackpressureIsTold(t *testing.T) {
+// Guards against backpressure notices that do not reach all daemons where they are
+// many: each daemon sends them to the steward, which forwards them to all. Notices
+// from every daemon to every other one would dominate the traffic.
+func TestBackpressureRecipients(t *testing.T) {
 	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
 		Limit: backpressure.Limit{PerSecond: 1.5, Named: true}, LimitAge: time.Second}}}
-	for tell, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
-		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
-		raw, err := en.datagram(to(0, tell))
+	for work, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
+		en := heartbeatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		raw, err := en.datagram(recipientOf(0, work))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -291,10 +296,10 @@
 		}
 		if want {
 			if diff := cmp.Diff(be.Backpressure, got.Backpressure); diff != "" {
-				t.Errorf("with %v told otherwise: %s", tell, diff)
+				t.Errorf("decoded notices differ with work of %v: %s", work, diff)
 			}
 		} else if len(got.Backpressure) != 0 {
-			t.Errorf("told with %v", tell)
+			t.Errorf("notices sent with work of %v", work)
 		}
 	}
 }
--- a/internal/mesh/send.go
+++ b/internal/mesh/send.go
@@ -10,111 +10,118 @@
 	"corianderhub.dev/corianderhub/internal/core/dispatch"
 )
 
-// Work is what a beat may tell of the work at groups.
+// Work provides the work at groups that a heartbeat may contain.
 type Work struct {
-	// Own is this daemon's.
+	// Own is the work of this daemon.
 	Own dispatch.Work
-	// But returns that of all daemons but one; the steward sets it.
+	// But returns the work of all daemons except the one at ip. Only the steward sets
+	// it.
 	But func(ip string) dispatch.Work
 }
 
-// Send sends a beat.
+// Send sends a heartbeat to the recipients that to selects, each with the work meant
+// for it. It returns an error only if encoding fails.
 func (me *Mesh) Send(be Beat, wo Work, to Audience) error {
-	en := beatEncoder{be: be, wo: wo}
+	en := heartbeatEncoder{be: be, wo: wo}
 	for _, re := range me.due(to) {
 		raw, err := en.datagram(re)
 		if err != nil {
 			return err
 		}
 		sentBytes.Add(len(raw))
-		// A datagram that is lost is made up for by the next one.
+		// The next heartbeat replaces a lost one.
 		if _, err := me.Conn.WriteToUDPAddrPort(raw, re.to); err != nil {
-			me.Log.Debug("mesh: datagram not sent.", "to", re.to.String(), "cause", err.Error())
+			me.Log.Debug("mesh: cannot send datagram.", "to", re.to.String(), "cause", err.Error())
 		}
 	}
 	return nil
 }
 
-// recipient is a daemon to send a beat to, and which work it is told.
+// recipient is the address of a daemon and whose work its heartbeat contains.
 type recipient struct {
 	to   netip.AddrPort
-	tell WorkOf
+	work WorkOf
 }
 
+// due returns the recipients of a heartbeat now, and records them as sent to. It
+// removes daemons that were unresponsive for longer than deadRetention.
 func (me *Mesh) due(to Audience) []recipient {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
-	pa := me.pace()
+	pa := me.intervals()
 	var due []recipient
 	for ip, pe := range me.peers {
-		if me.forget(ip, pe, now) || !pa.dueTo(ip, pe, now, to) {
+		if me.expire(ip, pe, now) || !pa.isDue(ip, pe, now, to) {
 			continue
 		}
-		pe.sent = now
-		due = append(due, recipient{netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(me.Port)), pa.tells(ip)})
+		pe.sentAt = now
+		due = append(due, recipient{netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(me.Port)), pa.workFor(ip)})
 	}
 	return due
 }
 
-// forget drops a daemon that has been silent for long, and tells whether it did.
-func (me *Mesh) forget(ip string, pe *Peer, now time.Time) bool {
-	heard := pe.At
-	if heard.IsZero() {
-		heard = pe.known
+// expire removes a daemon that sent no heartbeat for longer than deadRetention, and
+// reports whether it did. me.mu must be held.
+func (me *Mesh) expire(ip string, pe *Peer, now time.Time) bool {
+	lastSeen := pe.At
+	if lastSeen.IsZero() {
+		lastSeen = pe.addedAt
 	}
-	if now.Sub(heard) <= forgetAfter {
+	if now.Sub(lastSeen) <= deadRetention {
 		return false
 	}
 	delete(me.peers, ip)
 	return true
 }
 
-// AnyDue tells whether a beat is due to any daemon, before the trouble is taken
-// to make one.
+// AnyDue reports whether a heartbeat is due to any daemon, so that the caller need not
+// build one in vain.
 func (me *Mesh) AnyDue() bool {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
-	pa := me.pace()
+	pa := me.intervals()
 	for ip, pe := range me.peers {
-		if pa.dueTo(ip, pe, now, ToDue) {
+		if pa.isDue(ip, pe, now, ToDue) {
 			return true
 		}
 	}
 	return false
 }
 
-// beatEncoder encodes a beat once for all daemons that are told the same.
-type beatEncoder struct {
+// heartbeatEncoder encodes a heartbeat once for all recipients with the same content.
+// own and none cache the encodings for WorkOwn and WorkNone.
+type heartbeatEncoder struct {
 	be        Beat
 	wo        Work
 	own, none []byte
 }
 
-// datagram returns the beat for one recipient, encoded.
-func (en *beatEncoder) datagram(re recipient) ([]byte, error) {
+// datagram returns the encoded heartbeat for one recipient.
+func (en *heartbeatEncoder) datagram(re recipient) ([]byte, error) {
 	be := en.be
-	be.WorkOf = re.tell
-	if re.tell != WorkOwn {
+	be.WorkOf = re.work
+	if re.work != WorkOwn {
 		be.Ended, be.Answered = nil, nil
 	}
-	if re.tell == WorkNone {
+	if re.work == WorkNone {
 		be.Backpressure = nil
 	}
 	switch {
-	case re.tell == WorkRelayed && en.wo.But != nil:
+	case re.work == WorkRelayed && en.wo.But != nil:
 		be.Work = en.wo.But(re.to.Addr().String())
 		return encode(be)
-	case re.tell == WorkOwn:
+	case re.work == WorkOwn:
 		be.Work = en.wo.Own
-		return once(&en.own, be)
+		return encodeOnce(&en.own, be)
 	}
 	be.WorkOf = WorkNone
-	return once(&en.none, be)
+	return encodeOnce(&en.none, be)
 }
 
-func once(raw *[]byte, be Beat) ([]byte, error) {
+// encodeOnce returns *raw, and sets it to the encoded heartbeat first if it is nil.
+func encodeOnce(raw *[]byte, be Beat) ([]byte, error) {
 	if *raw != nil {
 		return *raw, nil
 	}
@@ -125,10 +132,10 @@
 
 func encode(be Beat) ([]byte, error) {
 	raw, err := cbor.Marshal(be)
-	return raw, eris.Wrap(err, "beat")
+	return raw, eris.Wrap(err, "encode heartbeat")
 }
 
 func decode(raw []byte) (Beat, error) {
 	var be Beat
-	return be, eris.Wrap(cbor.Unmarshal(raw, &be), "beat")
+	return be, eris.Wrap(cbor.Unmarshal(raw, &be), "decode heartbeat")
 }
--- a/internal/mesh/silent.go
+++ b/internal/mesh/silent.go
@@ -2,44 +2,49 @@
 
 import "time"
 
-// Silent returns the daemons that have fallen silent lately, for the steward
-// to tell the others, which hear most daemons seldom.
+// Silent returns the IP addresses of daemons that have recently become unresponsive.
+// The steward sends them to the other daemons, which receive heartbeats from most
+// daemons too seldom to notice soon. It returns nil on other daemons and in direct
+// mode.
 func (me *Mesh) Silent() []string {
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	if len(me.peers) <= directMost || me.steward != me.IP {
+	if len(me.peers) <= maxDirectPeers || me.steward != me.IP {
 		return nil
 	}
 	now := me.Clock.Now()
-	if now.Sub(me.stewardSince) < stewardSettle {
+	if now.Sub(me.stewardSince) < stewardSettleTime {
 		return nil
 	}
-	var silent []string
+	var unresponsive []string
 	for ip, pe := range me.peers {
-		if age := now.Sub(pe.At); !pe.At.IsZero() && age > silentAfter && age < tellSilent {
-			silent = append(silent, ip)
+		if age := now.Sub(pe.At); !pe.At.IsZero() && age > unresponsiveTimeout && age < unresponsiveReportTime {
+			unresponsive = append(unresponsive, ip)
 		}
 	}
-	return silent
+	return unresponsive
 }
 
 const (
-	// stewardSettle is how long a new steward does not tell: until it has become
-	// known, the others send it no more than they do to everybody.
-	stewardSettle = 1500 * time.Millisecond
-	// silentAfter is the silence after which the steward tells that a daemon is
-	// silent, tellSilent how long it does; by then others have noticed.
-	silentAfter = 600 * time.Millisecond
-	tellSilent  = 2 * time.Minute
+	// stewardSettleTime is how long a new steward reports no unresponsive daemons.
+	// Until the others know it as the steward, they send it heartbeats only at the peer
+	// interval.
+	stewardSettleTime = 1500 * time.Millisecond
+	// unresponsiveTimeout is the time without heartbeats after which the steward
+	// reports a daemon as unresponsive. After unresponsiveReportTime it stops, because
+	// the other daemons have noticed by then.
+	unresponsiveTimeout    = 600 * time.Millisecond
+	unresponsiveReportTime = 2 * time.Minute
 )
 
-// hearSilent takes in which daemons have fallen silent to the steward.
-func (me *Mesh) hearSilent(be Beat) {
+// applyUnresponsive records the unresponsive daemons that a heartbeat of the steward
+// lists. It ignores heartbeats of other daemons. me.mu must be held.
+func (me *Mesh) applyUnresponsive(be Beat) {
 	if !be.Steward || be.IP != me.steward {
 		return
 	}
-	me.silent = make(map[string]bool, len(be.Silent))
+	me.unresponsive = make(map[string]bool, len(be.Silent))
 	for _, ip := range be.Silent {
-		me.silent[ip] = true
+		me.unresponsive[ip] = true
 	}
 }
