--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -15,23 +15,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// ServerName is the DNS name in every daemon's certificate. Daemons are
-// reached by IP number and replaced at any time, so the CA alone says who
-// belongs to the system.
+// ServerName is the DNS name in every daemon's certificate. Daemons are addressed by
+// IP and replaced at any time, so the signature of the CA alone identifies a member of
+// the system.
 const ServerName = "daemon.corianderhub.internal"
 
 const (
+	// Validity of the CA and of a daemon's certificate. clockSkew is how far the start
+	// of both lies in the past, for daemons whose clock is slow.
 	caLifetime   = 10 * 365 * 24 * time.Hour
 	certLifetime = 365 * 24 * time.Hour
 	clockSkew    = time.Hour
 )
 
-// Material is PEM text of a CA and of one certificate that it signed.
+// Material holds a CA certificate and one certificate that the CA signed, with their
+// private keys, all PEM-encoded. CAKey is empty if the CA's key is not at hand.
 type Material struct {
 	CA, CAKey, Cert, Key []byte
 }
 
-// NewMaterial makes a CA and a daemon certificate for first use and tests.
+// NewMaterial generates a CA and a daemon certificate, for a first installation and
+// for tests. Both are valid from clockSkew before now.
 func NewMaterial(now time.Time) (Material, error) {
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -65,13 +69,14 @@
 	return Material{CA: certPEM(caDER), CAKey: caKeyPEM, Cert: certPEM(certDER), Key: certKeyPEM}, err
 }
 
-func template(name string, now time.Time, life time.Duration) *x509.Certificate {
+// template returns a certificate template with a random serial number.
+func template(name string, now time.Time, lifetime time.Duration) *x509.Certificate {
 	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(lifetime),
 	}
 }
 
@@ -79,6 +84,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
 }
 
+// keyPEM returns the key in PKCS #8 form.
 func keyPEM(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -87,7 +93,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der}), nil
 }
 
-// Config returns the TLS configuration for both ends of a connection.
+// Config returns the TLS configuration for both ends of a connection. It requires a
+// client certificate signed by the CA.
 func (ma Material) Config() (*tls.Config, error) {
 	cert, err := tls.X509KeyPair(ma.Cert, ma.Key)
 	if err != nil {
@@ -95,7 +102,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ma.CA) {
-		return nil, eris.New("keys: the CA file holds no certificate")
+		return nil, eris.New("keys: CA file contains no PEM certificate")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -106,7 +113,8 @@
 	}, nil
 }
 
-// ReadMaterial reads the files that a daemon needs.
+// ReadMaterial reads the PEM files of the CA certificate and of a daemon's certificate
+// and key. It does not check their content.
 func ReadMaterial(ca, cert, key string) (Material, error) {
 	var ma Material
 	for _, part := range []struct {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,7 +1,7 @@
-// Package peer carries the messages between daemons over QUIC with mutual
-// TLS. Each call is one stream: a CBOR request, then a CBOR answer. A call
-// that gets no answer in time closes its connection, so that a connection
-// which something in between has forgotten is not used twice.
+// Package peer carries messages between daemons over QUIC with mutual TLS. Each call
+// uses one stream: a CBOR request followed by a CBOR response. A call that times out
+// closes its connection, so that a connection whose state was lost on the way, for
+// example in a firewall, is not used again.
 package peer
 
 import (
@@ -12,68 +12,72 @@
 	"corianderhub.dev/corianderhub/internal/core/gossip"
 )
 
-// Request is a message to a daemon. The set is closed; the answer's type
-// stands with each.
+// Request is a message to a daemon. Only the types of this package implement it; the
+// comment of each names the type of its response.
 type Request interface{ kind() kind }
 
+// kind is the type of a request on the wire.
 type kind uint8
 
 const (
 	kindPull kind = iota + 1
 	kindDocs
 	kindConfig
-	kindSightings
+	kindObservations
 	kindRevoke
 	kindClaim
 )
 
-// PullRequest asks for the digest: control.PullAnswer.
+// PullRequest requests the digest. The response is control.PullAnswer.
 type PullRequest struct {
-	// From is the peer address of the daemon that asks, Revision that of its
-	// own document; both are empty in a question for status pages.
+	// From is the peer address of the requesting daemon, Revision the revision of its
+	// own document. Both are empty in requests for status pages.
 	From     string `cbor:"1,keyasint,omitempty"`
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// DocsRequest asks for newer documents: DocsAnswer.
+// DocsRequest requests documents newer than those in Have, which maps document names
+// to revisions. The response is DocsAnswer.
 type DocsRequest struct {
 	Have map[string]uint64 `cbor:"1,keyasint"`
 }
 
-// DocsAnswer brings documents.
+// DocsAnswer is the response to DocsRequest.
 type DocsAnswer struct {
 	Docs []gossip.Doc `cbor:"1,keyasint"`
 }
 
-// ConfigRequest asks for the configuration: control.ConfigAnswer.
+// ConfigRequest requests the configuration after a revision. The response is
+// control.ConfigAnswer.
 type ConfigRequest struct {
 	After uint64 `cbor:"1,keyasint"`
 }
 
-// SightingsRequest asks for changed sightings: control.SightingsAnswer.
+// SightingsRequest requests the observations that changed since a revision. The
+// response is control.ObservationsAnswer.
 type SightingsRequest struct {
 	Since uint64 `cbor:"1,keyasint"`
 }
 
-// RevokeRequest says that a group is not whole: Done.
+// RevokeRequest announces that a group is not complete. The response is Done.
 type RevokeRequest struct {
 	Group string `cbor:"1,keyasint"`
 	Fence uint64 `cbor:"2,keyasint"`
 }
 
-// ClaimRequest passes a claim operation to the daemon that batches its page:
-// claim.Result.
+// ClaimRequest passes a claim operation to the daemon that batches the operations of
+// its shard. The response is claim.Result.
 type ClaimRequest struct {
 	Op claim.Op `cbor:"1,keyasint"`
 }
 
-// Done is an empty answer.
+// Done is an empty response.
 type Done struct{}
 
 func (PullRequest) kind() kind      { return kindPull }
 func (DocsRequest) kind() kind      { return kindDocs }
 func (ConfigRequest) kind() kind    { return kindConfig }
-func (SightingsRequest) kind() kind { return kindSightings }
+func (SightingsRequest) kind() kind { return kindObservations }
 func (RevokeRequest) kind() kind    { return kindRevoke }
 func (ClaimRequest) kind() kind     { return kindClaim }
 
@@ -83,7 +87,8 @@
 	Body cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// reply is an answer on the wire.
+// reply is a response on the wire. Error is set if the call failed, and Body is empty
+// then.
 type reply struct {
 	Error string          `cbor:"1,keyasint,omitempty"`
 	Body  cbor.RawMessage `cbor:"2,keyasint,omitempty"`
@@ -98,7 +103,8 @@
 	return raw, eris.Wrap(err, "peer request")
 }
 
-// Decode reads a request from its bytes.
+// Decode decodes a request from its wire format. It returns an error for an unknown
+// kind.
 func Decode(raw []byte) (Request, error) {
 	var fr frame
 	if err := cbor.Unmarshal(raw, &fr); err != nil {
@@ -111,7 +117,7 @@
 		return decodeAs[DocsRequest](fr.Body)
 	case kindConfig:
 		return decodeAs[ConfigRequest](fr.Body)
-	case kindSightings:
+	case kindObservations:
 		return decodeAs[SightingsRequest](fr.Body)
 	case kindRevoke:
 		return decodeAs[RevokeRequest](fr.Body)
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -18,33 +18,35 @@
 )
 
 const (
+	// protocol is the ALPN name of the protocol.
 	protocol = "corianderhub-peer-1"
-	// maxMessageBytes bounds a request and an answer.
+	// maxMessageBytes limits the size of a request and of a response.
 	maxMessageBytes = 16 << 20
-	// callTimeout bounds a call that was given no deadline.
+	// callTimeout applies to calls without a deadline and to handshakes.
 	callTimeout = time.Second
-	// idleTimeout closes connections that no call has used.
+	// idleTimeout closes connections without calls.
 	idleTimeout = time.Minute
-	// maxStreams bounds the calls that one peer may have open.
+	// maxStreams limits the calls of one peer that are in flight.
 	maxStreams = 256
 )
 
 var (
+	// Traffic of the socket, in bytes, including that of QUIC itself.
 	bytesOut = metrics.NewCounter("corianderhub_peer_bytes_sent_total")
 	bytesIn  = metrics.NewCounter("corianderhub_peer_bytes_received_total")
 )
 
-// Handler answers requests. The answer is encoded as CBOR.
+// Handler handles requests. The returned response is encoded as CBOR; an error is sent
+// to the peer as text.
 type Handler interface {
 	Handle(ctx context.Context, req Request) (any, error)
 }
 
-// Node sends and answers calls on one UDP socket. Set the exported fields
-// before Run.
+// Node makes and serves calls on one UDP socket. Set the exported fields before Run.
 type Node struct {
-	// Conn is the bound socket; Run closes it.
+	// Conn is the bound socket. Run closes it.
 	Conn *net.UDPConn
-	// TLS holds this daemon's certificate and the CA that all daemons share.
+	// TLS holds this daemon's certificate and the CA of all daemons.
 	TLS     *tls.Config
 	Handler Handler
 	Log     *slog.Logger
@@ -56,7 +58,7 @@
 	closed    atomic.Bool
 }
 
-// dialed is a connection that is being made or was made.
+// dialed is an outgoing connection. conn and err are valid once ready is closed.
 type dialed struct {
 	ready chan struct{}
 	conn  *quic.Conn
@@ -74,14 +76,15 @@
 	return &quic.Config{MaxIdleTimeout: idleTimeout, HandshakeIdleTimeout: callTimeout, MaxIncomingStreams: maxStreams}
 }
 
-// Run answers calls until ctx ends.
+// Run serves calls until ctx ends, and then returns nil. It returns an error if the
+// node cannot listen or accept connections.
 func (no *Node) Run(ctx context.Context) error {
 	no.init()
 	conf := no.TLS.Clone()
 	conf.NextProtos = []string{protocol}
 	ln, err := no.transport.Listen(conf, no.quicConfig())
 	if err != nil {
-		return eris.Wrap(err, "peer listen")
+		return eris.Wrap(err, "peer: listen")
 	}
 	defer no.close(ln)
 	for {
@@ -90,7 +93,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			return eris.Wrap(err, "peer accept")
+			return eris.Wrap(err, "peer: accept connection")
 		}
 		go no.serveConn(ctx, conn)
 	}
@@ -119,16 +122,17 @@
 	if err != nil {
 		return
 	}
-	rp := no.answer(ctx, raw)
+	rp := no.respond(ctx, raw)
 	out, err := cbor.Marshal(rp)
 	if err != nil {
-		no.Log.Error("Peer: an answer could not be encoded.", "error", err)
+		no.Log.Error("Peer: cannot encode response.", "error", err)
 		return
 	}
 	st.Write(out)
 }
 
-func (no *Node) answer(ctx context.Context, raw []byte) reply {
+// respond handles one encoded request. Errors become part of the reply.
+func (no *Node) respond(ctx context.Context, raw []byte) reply {
 	req, err := Decode(raw)
 	if err != nil {
 		return reply{Error: err.Error()}
@@ -144,7 +148,9 @@
 	return reply{Body: body}
 }
 
-// Call sends req to the daemon at addr and decodes the answer into into.
+// Call sends req to the daemon at addr and decodes its response into the value that
+// into points to. Without a deadline in ctx, it times out after callTimeout. An error
+// of the remote handler is returned as text.
 func (no *Node) Call(ctx context.Context, addr string, req Request, into any) error {
 	no.init()
 	if _, ok := ctx.Deadline(); !ok {
@@ -162,22 +168,23 @@
 	}
 	rp, err := exchange(ctx, conn, raw)
 	if err != nil {
-		// The connection may have gone silent for good: the next call makes a
-		// new one.
-		no.forget(addr, conn)
+		// The connection may be dead without a sign of it, so the next call opens a new
+		// one.
+		no.dropConn(addr, conn)
 		return err
 	}
 	if rp.Error != "" {
 		return eris.Errorf("peer %s: %s", addr, rp.Error)
 	}
-	return eris.Wrap(cbor.Unmarshal(rp.Body, into), "peer answer")
+	return eris.Wrap(cbor.Unmarshal(rp.Body, into), "peer: decode response")
 }
 
+// exchange sends a request on a new stream of conn and reads the reply.
 func exchange(ctx context.Context, conn *quic.Conn, raw []byte) (reply, error) {
 	var rp reply
 	st, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		return rp, eris.Wrap(err, "peer stream")
+		return rp, eris.Wrap(err, "peer: open stream")
 	}
 	defer st.CancelRead(0)
 	if dl, ok := ctx.Deadline(); ok {
@@ -186,18 +193,18 @@
 	stop := context.AfterFunc(ctx, func() { st.SetDeadline(time.Unix(0, 1)) })
 	defer stop()
 	if _, err := st.Write(raw); err != nil {
-		return rp, eris.Wrap(err, "peer write")
+		return rp, eris.Wrap(err, "peer: write request")
 	}
 	st.Close()
 	in, err := io.ReadAll(io.LimitReader(st, maxMessageBytes))
 	if err != nil {
-		return rp, eris.Wrap(err, "peer read")
+		return rp, eris.Wrap(err, "peer: read response")
 	}
-	return rp, eris.Wrap(cbor.Unmarshal(in, &rp), "peer answer")
+	return rp, eris.Wrap(cbor.Unmarshal(in, &rp), "peer: decode response")
 }
 
-// dial returns the connection to addr, making it if there is none. Callers
-// that come at once share one handshake.
+// dial returns the connection to addr and opens one if there is none. Concurrent
+// callers share one handshake.
 func (no *Node) dial(ctx context.Context, addr string) (*quic.Conn, error) {
 	no.mu.Lock()
 	di, ok := no.conns[addr]
@@ -214,10 +221,12 @@
 	case <-di.ready:
 		return di.conn, di.err
 	case <-ctx.Done():
-		return nil, eris.Wrap(ctx.Err(), "peer dial "+addr)
+		return nil, eris.Wrap(ctx.Err(), "peer: dial "+addr)
 	}
 }
 
+// connect performs the handshake for di. A failed one is removed, so that the next
+// call tries again.
 func (no *Node) connect(addr string, di *dialed) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -233,20 +242,21 @@
 
 func (no *Node) handshake(ctx context.Context, addr string) (*quic.Conn, error) {
 	if no.closed.Load() {
-		return nil, eris.New("peer: closed")
+		return nil, eris.New("peer: node is closed")
 	}
 	ua, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer dial")
+		return nil, eris.Wrap(err, "peer: resolve address")
 	}
 	conf := no.TLS.Clone()
 	conf.NextProtos = []string{protocol}
 	conf.ServerName = ServerName
 	conn, err := no.transport.Dial(ctx, ua, conf, no.quicConfig())
-	return conn, eris.Wrap(err, "peer dial "+addr)
+	return conn, eris.Wrap(err, "peer: dial "+addr)
 }
 
-func (no *Node) forget(addr string, conn *quic.Conn) {
+// dropConn closes conn and removes it from the connections that later calls use.
+func (no *Node) dropConn(addr string, conn *quic.Conn) {
 	no.mu.Lock()
 	if di, ok := no.conns[addr]; ok && di.conn == conn {
 		delete(no.conns, addr)
@@ -255,8 +265,9 @@
 	conn.CloseWithError(0, "no answer")
 }
 
-// countingConn counts what passes, for the budget of control traffic. It
-// hides the socket's other methods, through which QUIC would pass it by.
+// countingConn counts the bytes of a socket, for the budget of control traffic. It
+// does not embed the socket, because QUIC would bypass the counters through its other
+// methods.
 type countingConn struct{ conn *net.UDPConn }
 
 func (cc countingConn) ReadFrom(buf []byte) (int, net.Addr, error) {
