--- a/internal/platform/chainstore/chainstore.go
+++ b/internal/platform/chainstore/chainstore.go
@@ -1,5 +1,5 @@
-// Package chainstore keeps the configuration's chain in the platform's
-// key-value service.
+// Package chainstore stores the chain of configurations, package core/chain, in the
+// platform's key-value service.
 package chainstore
 
 import (
@@ -19,16 +19,17 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Keys of the chain.
+// Keys of the chain in the key-value service.
 const (
 	HeadKey       = "config/head"
 	entriesPrefix = "config/entries/"
 	piecesPrefix  = "config/pieces/"
 )
 
-// maxApplyTries bounds the compare-and-swaps of one apply.
+// maxApplyTries limits the compare-and-swaps of one apply.
 const maxApplyTries = 16
 
+// retryPause is the time between two attempts of an apply.
 const retryPause = 50 * time.Millisecond
 
 // Store reads and writes the chain. Set the fields before use.
@@ -37,7 +38,8 @@
 	Clock clock.Clock
 }
 
-// Head reads the newest head; its revision is 0 when nothing was applied yet.
+// Head reads the current head and its revision in the key-value service, which is 0
+// before the first apply.
 func (st Store) Head(ctx context.Context) (chain.Head, uint64, error) {
 	en, err := st.KV.Get(ctx, HeadKey)
 	if err != nil || en.Revision == 0 {
@@ -48,15 +50,16 @@
 	return hd, en.Revision, eris.Wrap(err, HeadKey)
 }
 
-// Update is what leads from one configuration to that of a head.
+// Update holds the changes from one configuration to that of a head.
 type Update struct {
 	Head chain.Head
-	// Snapshot is set when the entries do not reach back far enough.
+	// Snapshot is set if the entries do not reach back to the earlier configuration.
 	Snapshot *intent.Config
-	Entries  []chain.Entry
+	// Entries are in ascending order of revision.
+	Entries []chain.Entry
 }
 
-// After reads what leads from revision after to the head.
+// After reads the changes from revision after to the head.
 func (st Store) After(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
 	up := Update{Head: hd}
 	from := after
@@ -87,14 +90,14 @@
 	return en, st.content(ctx, entriesPrefix, digest, &en)
 }
 
-// content reads an immutable value and verifies it against its address.
+// content reads an immutable value and verifies it against its digest.
 func (st Store) content(ctx context.Context, prefix, digest string, into any) error {
 	en, err := st.KV.Get(ctx, prefix+digest)
 	if err != nil {
 		return err
 	}
 	if chain.Digest(en.Value) != digest {
-		return eris.Errorf("%s%s: missing or damaged", prefix, digest)
+		return eris.Errorf("%s%s: value is missing or does not match its digest", prefix, digest)
 	}
 	return eris.Wrap(json.Unmarshal(en.Value, into), prefix+digest)
 }
@@ -111,8 +114,8 @@
 	return chain.Join(pieces)
 }
 
-// Config returns the configuration that the update leads to from cfg.
-// Entries that cfg already has are passed over.
+// Config returns the result of the update on cfg. It skips entries that cfg already
+// contains.
 func (up Update) Config(cfg *intent.Config) (*intent.Config, error) {
 	if up.Snapshot != nil && up.Snapshot.Revision > cfg.Revision {
 		cfg = up.Snapshot
@@ -130,36 +133,41 @@
 	return cfg, nil
 }
 
-// Apply is one change that an operator wants to be in force.
+// Apply is a request of an operator to change the configuration.
 type Apply struct {
 	Change intent.Change
-	// Operation identifies the apply: repeating it with the same identifier
-	// has no further effect.
+	// Operation identifies the apply. Repeating an apply with the same identifier has
+	// no further effect.
 	Operation string
-	Operator  string
-	// Base is the revision that the operator has seen; an apply is refused
-	// when an object it touches was changed since. Zero takes any.
+	// Operator is the name of the operator.
+	Operator string
+	// Base is the revision that the operator has seen. The apply is refused if an
+	// object that it changes was changed since. Zero disables the check.
 	Base uint64
 }
 
-// Applied is an accepted change.
+// Applied is the result of an accepted change.
 type Applied struct {
+	// Revision is the revision that the change created. Update leads to it or a later
+	// one.
 	Revision uint64
 	Update   Update
-	// Snapshotted tells that older entries may be pruned now.
+	// Snapshotted is set if a new snapshot was written, so that older entries can be
+	// pruned.
 	Snapshotted bool
 }
 
-// FaultsError refuses a change for what is wrong with it.
+// FaultsError is returned for an invalid change and lists its faults.
 type FaultsError struct{ Faults []intent.Fault }
 
 // Error implements the error interface.
 func (fe *FaultsError) Error() string { return "the configuration is not valid" }
 
-// Apply puts the change on top of the chain as a whole, or returns an error
-// whose verdict tells whether it may be in force. cfg is any known state.
+// Apply appends the change to the chain, atomically. An invalid change is refused with
+// FaultsError. Any other error is a verdict.Error, whose verdict says whether the
+// change may be in force. cfg is any known configuration.
 func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, error) {
-	headTried := false
+	maybeWritten := false
 	var err error
 	for range maxApplyTries {
 		var done Applied
@@ -168,49 +176,49 @@
 		if err == nil {
 			return done, nil
 		}
-		headTried = headTried || tried
+		maybeWritten = maybeWritten || tried
 		var ve *verdict.Error
 		var fe *FaultsError
 		if errors.As(err, &ve) || errors.As(err, &fe) {
 			return Applied{}, err
 		}
-		if errors.Is(err, platform.ErrUnavailable) && !headTried {
+		if errors.Is(err, platform.ErrUnavailable) && !maybeWritten {
 			break
 		}
 		if st.Clock.Sleep(ctx, retryPause) != nil {
 			break
 		}
 	}
-	return Applied{}, platformError(err, headTried)
+	return Applied{}, platformError(err, maybeWritten)
 }
 
-// tryApply makes one try. It also tells whether the head may have been
+// tryApply makes one attempt. Its second result reports whether the head may have been
 // written although an error is returned.
 func (st Store) tryApply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, bool, error) {
 	hd, rev, err := st.Head(ctx)
 	if err != nil {
 		return Applied{}, false, err
 	}
-	up, err := st.After(ctx, hd, oldest(cfg.Revision, ap.Base))
+	up, err := st.After(ctx, hd, oldestRevision(cfg.Revision, ap.Base))
 	if err != nil {
 		return Applied{}, false, err
 	}
-	// A lost answer or a conflict may be our own earlier write, even one that
-	// others have built upon since: the head tells.
+	// After a lost response or a conflict, an earlier write of this apply may have
+	// succeeded, even if later applies followed. The head shows whether it did.
 	if revision, ok := hd.Find(ap.Operation); ok {
 		return Applied{Revision: revision, Update: up}, false, nil
 	}
-	if err := conflict(up, ap); err != nil {
+	if err := checkConflict(up, ap); err != nil {
 		return Applied{}, false, err
 	}
-	now, err := up.Config(cfg)
+	current, err := up.Config(cfg)
 	if err != nil {
 		return Applied{}, false, err
 	}
-	if faults := now.CheckChange(ap.Change); len(faults) > 0 {
+	if faults := current.CheckChange(ap.Change); len(faults) > 0 {
 		return Applied{}, false, &FaultsError{Faults: faults}
 	}
-	next, snapshot, err := st.prepare(ctx, hd, now, ap)
+	next, snapshot, err := st.prepare(ctx, hd, current, ap)
 	if err != nil {
 		return Applied{}, false, err
 	}
@@ -222,22 +230,23 @@
 	return Applied{Revision: next.Head.Revision, Update: next, Snapshotted: snapshot}, false, nil
 }
 
-// oldest returns the revision to read back to, so that changes since base are
-// seen as well as those that the known state lacks.
-func oldest(known, base uint64) uint64 {
+// oldestRevision returns the revision to read back to, so that the update contains all
+// changes since base and all that the known configuration lacks.
+func oldestRevision(known, base uint64) uint64 {
 	if base > 0 {
 		return min(known, base)
 	}
 	return known
 }
 
-// conflict refuses an apply whose objects another operator changed after base.
-func conflict(up Update, ap Apply) error {
+// checkConflict returns an error if another apply changed an object of ap after
+// ap.Base.
+func checkConflict(up Update, ap Apply) error {
 	base := ap.Base
 	if base == 0 {
 		return nil
 	}
-	mine := ap.Change.IDs()
+	changed := ap.Change.IDs()
 	if up.Snapshot != nil && up.Snapshot.Revision > base {
 		return conflictError("more changed since than can be compared")
 	}
@@ -246,7 +255,7 @@
 			continue
 		}
 		for _, id := range en.IDs() {
-			if slices.Contains(mine, id) {
+			if slices.Contains(changed, id) {
 				return conflictError(id + " was changed by " + en.Operator + " in operation " + en.Operation)
 			}
 		}
@@ -258,19 +267,21 @@
 	return &verdict.Error{Code: verdict.CodeConflict, Verdict: verdict.NotRun, Message: reason}
 }
 
-func platformError(err error, mayHave bool) error {
+// platformError returns the error for a key-value service that does not answer.
+// mayHaveRun says whether the change may be in force.
+func platformError(err error, mayHaveRun bool) error {
 	ve := &verdict.Error{Code: verdict.CodePlatform, Verdict: verdict.NotRun, RetryAfter: time.Second, Cause: err,
 		Message: "the platform's key-value service did not answer"}
-	if mayHave {
+	if mayHaveRun {
 		ve.Verdict = verdict.MayHaveRun
 		ve.Message += "; repeat the apply with the same operation to find out"
 	}
 	return ve
 }
 
-// prepare stores everything that the next head names. It also tells whether
-// that is a new snapshot.
-func (st Store) prepare(ctx context.Context, hd chain.Head, now *intent.Config, ap Apply) (Update, bool, error) {
+// prepare stores all values that the next head refers to. Its second result reports
+// whether that includes a new snapshot.
+func (st Store) prepare(ctx context.Context, hd chain.Head, current *intent.Config, ap Apply) (Update, bool, error) {
 	en, err := chain.NewEntry(hd, ap.Change, ap.Operation, ap.Operator)
 	if err != nil {
 		return Update{}, false, err
@@ -282,11 +293,12 @@
 	next := hd.Next(en, digest)
 	snapshot := next.Revision-hd.SnapshotRevision > chain.SnapshotEvery
 	if snapshot {
-		err = st.putSnapshot(ctx, now, &next)
+		err = st.putSnapshot(ctx, current, &next)
 	}
 	return Update{Head: next, Entries: []chain.Entry{en}}, snapshot, err
 }
 
+// swapHead writes the head if the stored one is at revision rev.
 func (st Store) swapHead(ctx context.Context, hd chain.Head, rev uint64) error {
 	raw, err := json.Marshal(hd)
 	if err != nil {
@@ -296,13 +308,14 @@
 	return err
 }
 
-func (st Store) putSnapshot(ctx context.Context, now *intent.Config, hd *chain.Head) error {
-	pieces, err := chain.Pieces(now)
+// putSnapshot stores the pieces of the configuration and refers to them in hd.
+func (st Store) putSnapshot(ctx context.Context, current *intent.Config, hd *chain.Head) error {
+	pieces, err := chain.Pieces(current)
 	if err != nil {
 		return err
 	}
 	hd.Snapshot = nil
-	hd.SnapshotRevision = now.Revision
+	hd.SnapshotRevision = current.Revision
 	for _, pc := range pieces {
 		digest, err := st.put(ctx, piecesPrefix, pc)
 		if err != nil {
@@ -313,8 +326,8 @@
 	return nil
 }
 
-// put stores an immutable value under its digest. A conflict means that it is
-// there already.
+// put stores an immutable value under its digest and returns the digest. A conflict
+// means that the value is already stored.
 func (st Store) put(ctx context.Context, prefix string, val any) (string, error) {
 	raw, err := json.Marshal(val)
 	if err != nil {
@@ -328,9 +341,10 @@
 	return digest, err
 }
 
-// Prune deletes entries and pieces that no head from the last snapshot on
-// needs, and returns how many. Entries newer than keep revisions before the
-// snapshot stay, for daemons that are a little behind.
+// Prune deletes entries and pieces that are older than the last snapshot and that no
+// later head refers to, and returns their number. It keeps the entries of the last
+// chain.SnapshotEvery revisions before the snapshot, for daemons that lag slightly
+// behind.
 func (st Store) Prune(ctx context.Context, hd chain.Head) (int, error) {
 	entries, err := st.KV.List(ctx, entriesPrefix)
 	if err != nil {
--- a/internal/platform/claims/book.go
+++ b/internal/platform/claims/book.go
@@ -1,8 +1,8 @@
-// Package claims keeps claims in the platform's key-value service. Operations
-// on one shard are merged into one write, so that the number of writes
-// follows the passing of time and not the number of requests. One daemon does
-// the merging for a shard where it can be reached; any other may write the
-// same pages itself, because compare-and-swap alone keeps them right.
+// Package claims stores claims in the platform's key-value service. It merges the
+// operations on one shard into one write, so that the number of writes depends on
+// elapsed time and not on the number of requests. Usually one daemon, the owner,
+// merges the operations of a shard. Any other daemon may write the same slices if it
+// cannot reach the owner, because compare-and-swap alone ensures correctness.
 package claims
 
 import (
@@ -15,34 +15,35 @@
 	"corianderhub.dev/corianderhub/internal/platform"
 )
 
-// WritePause is the least time between two writes of a shard by one daemon:
-// all shards together make at most Shards/WritePause writes a second.
+// WritePause is the minimum time between two writes of a shard by one daemon. All
+// shards together make at most Shards/WritePause writes per second.
 const WritePause = 100 * time.Millisecond
 
-// settlePauses are the waits between tries to give back a claim that may have
-// been stored although its request was refused as not run.
-var settlePauses = []time.Duration{time.Second, 5 * time.Second, 30 * time.Second, 2 * time.Minute}
+// retryPauses are the pauses after failed attempts of a background operation, such as
+// the release of a claim that may have been stored although its request was refused as
+// not run.
+var retryPauses = []time.Duration{time.Second, 5 * time.Second, 30 * time.Second, 2 * time.Minute}
 
 // Forward passes an operation to the daemon at a peer address.
 type Forward func(ctx context.Context, peer string, op claim.Op) (claim.Result, error)
 
-// Book carries out claim operations. Set the exported fields before use.
+// Book executes claim operations. Set the exported fields before use.
 type Book struct {
 	Store platform.Store
 	Clock clock.Clock
-	// Owner returns the peer address of the daemon that merges a shard's
-	// operations; empty when this daemon does.
+	// Owner returns the peer address of the daemon that merges the operations of a
+	// shard. It returns "" if this daemon does.
 	Owner   func(shard int) string
 	Forward Forward
 
 	mu     sync.Mutex
 	shards [claim.Shards]*shard
-	// pending counts work that goes on after the request was answered.
+	// pending counts background operations that outlast their request.
 	pending sync.WaitGroup
 }
 
-// Do carries out the operation through the shard's owner, or directly when
-// the owner does not answer.
+// Do executes the operation through the shard's owner, or directly if the owner does
+// not answer or answers claim.Unavailable.
 func (bo *Book) Do(ctx context.Context, op claim.Op) claim.Result {
 	if addr := bo.Owner(op.Shard); addr != "" {
 		if res, err := bo.Forward(ctx, addr, op); err == nil && res.Answer != claim.Unavailable {
@@ -52,10 +53,11 @@
 	return bo.Local(ctx, op)
 }
 
-// Local carries out the operation on this daemon.
+// Local executes the operation on this daemon. If ctx ends first, it returns
+// claim.Unavailable, and the operation may still be stored.
 func (bo *Book) Local(ctx context.Context, op claim.Op) claim.Result {
 	sh := bo.shard(op.Shard)
-	wa := &waiter{op: op, done: make(chan claim.Result, 1)}
+	wa := &pendingOp{op: op, done: make(chan claim.Result, 1)}
 	sh.add(wa)
 	select {
 	case res := <-wa.done:
@@ -65,36 +67,40 @@
 	}
 }
 
-// Settle gives a claim back in the background, again and again if need be.
+// Settle releases a claim in the background, and retries until that succeeds or
+// retryPauses is used up.
 func (bo *Book) Settle(op claim.Op) {
 	op.Kind = claim.Release
 	begin := bo.Clock.Now()
-	bo.later(func(ctx context.Context) bool {
+	bo.retryInBackground(func(ctx context.Context) bool {
 		switch bo.Do(ctx, op).Answer {
 		case claim.Applied:
 			return true
 		case claim.NotFound:
-			// At first this is not final: the acquire may still be on its way
-			// through the shard's owner.
+			// Not final until the batch timeout has passed: the shard's owner may still
+			// be storing the acquire.
 			return bo.Clock.Now().Sub(begin) > batchTimeout
 		}
 		return false
 	})
 }
 
-// Record stores an outcome in the background.
+// Record stores an outcome in the background, with retries like Settle.
 func (bo *Book) Record(op claim.Op) {
 	op.Kind = claim.Record
-	bo.later(func(ctx context.Context) bool { return bo.Do(ctx, op).Answer != claim.Unavailable })
+	bo.retryInBackground(func(ctx context.Context) bool { return bo.Do(ctx, op).Answer != claim.Unavailable })
 }
 
+// backgroundTimeout limits one attempt of a background operation.
 const backgroundTimeout = 5 * time.Second
 
-func (bo *Book) later(try func(ctx context.Context) bool) {
+// retryInBackground calls try until it returns true, at most once per entry of
+// retryPauses, and pauses after each failure.
+func (bo *Book) retryInBackground(try func(ctx context.Context) bool) {
 	bo.pending.Add(1)
 	go func() {
 		defer bo.pending.Done()
-		for _, pause := range settlePauses {
+		for _, pause := range retryPauses {
 			ctx, cancel := context.WithTimeout(context.Background(), backgroundTimeout)
 			ok := try(ctx)
 			cancel()
@@ -106,7 +112,7 @@
 	}()
 }
 
-// Wait returns when the background work is done or ctx ends.
+// Wait returns when all background operations have finished or ctx ends.
 func (bo *Book) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -119,6 +125,7 @@
 	}
 }
 
+// shard returns the shard with that number and creates it if necessary.
 func (bo *Book) shard(num int) *shard {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -21,7 +21,8 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
-// TestMain fixes the seed, so that every run of the tests has the same verdict.
+// TestMain fixes the seed of rapid, so that every run of the tests has the same
+// result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20260301", "rapid.checks": "60", "rapid.nofailfile": "true", "rapid.shrinktime": "2s"}
@@ -34,8 +35,8 @@
 	os.Exit(m.Run())
 }
 
-// bubble runs fn on a clock of its own. The shards' workers are given the time
-// to end: the clock stands still once fn has returned.
+// bubble runs fn in a synctest bubble. The final sleep lets the shards' workers end,
+// because the fake clock stops once fn has returned.
 func bubble(t *testing.T, fn func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		fn(t)
@@ -43,32 +44,32 @@
 	})
 }
 
-func acquire(key, holder, print string) claim.Op {
+// acquire returns the operation that claims key.
+func acquire(key, holder, fingerprint string) claim.Op {
 	ck := claim.NewKey("w", key)
-	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: print}
+	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: fingerprint}
 }
 
 func newBook(st *standin.Store) *Book {
 	return &Book{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 }
 
-// runs counts how often each key was dispatched.
-type runs struct {
+// dispatchCounter counts how often each key was dispatched.
+type dispatchCounter struct {
 	mu   sync.Mutex
 	keys map[string]int
 }
 
-func (ru *runs) add(key string) {
+func (ru *dispatchCounter) add(key string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.keys[key]++
 }
 
-// Two daemons claim few keys again and again, while writes lose their answers
-// or are lost altogether, the platform goes down and comes back, and daemons
-// crash at every point between claim, dispatch, answer and record. Some
-// requests are refused by the service as not run. Whatever the order, no key
-// is dispatched and run twice.
+// Guards against a key that is dispatched and run twice. Two daemons claim a few keys
+// repeatedly while writes or their responses are lost, the platform is unavailable at
+// times, and daemons crash at every point between claim, dispatch, response and
+// record. The service refuses some requests as not run.
 func TestHoldAtMostOnceUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 1<<20), 20, 80).Draw(rt, "steps")
@@ -82,7 +83,7 @@
 
 func randomClaims(steps []int) error {
 	st := standin.NewStore(clock.System{})
-	ru := &runs{keys: make(map[string]int)}
+	ru := &dispatchCounter{keys: make(map[string]int)}
 	books := []*Book{newBook(st), newBook(st)}
 	all := slices.Clone(books)
 	var wg sync.WaitGroup
@@ -97,7 +98,7 @@
 		case 3:
 			st.SetFaults(standin.StoreFaults{})
 		case 4:
-			// The daemon is replaced: its cache is gone.
+			// The daemon is replaced and loses its cache.
 			books[step/12%2] = newBook(st)
 			all = append(all, books[step/12%2])
 		default:
@@ -119,8 +120,9 @@
 	return nil
 }
 
-// attempt is one request with a key; crash tells where the daemon dies.
-func attempt(bo *Book, ru *runs, key, holder string, crash int) {
+// attempt runs one request with a key. crash selects the point where the daemon
+// crashes.
+func attempt(bo *Book, ru *dispatchCounter, key, holder string, crash int) {
 	const (
 		beforeDispatch = 1
 		refused        = 2
@@ -153,11 +155,12 @@
 	bo.Record(op)
 }
 
-// Many daemons without an owner between them write the same shard at once.
+// Guards against a key that is granted twice when many daemons write the same shard at
+// once, without an owner.
 func TestConcurrentAcquire(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
-		granted := &runs{keys: make(map[string]int)}
+		granted := &dispatchCounter{keys: make(map[string]int)}
 		var wg sync.WaitGroup
 		for i := range 8 {
 			bo := newBook(st)
@@ -179,8 +182,8 @@
 	})
 }
 
-// A slice fills up and is sealed while another daemon still takes it for the
-// open one. A key claimed before the seal must be found after it.
+// Guards against a key that is claimed again after its slice was sealed, while another
+// daemon still has the slice cached as the open one.
 func TestSealedSlice(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
@@ -213,8 +216,8 @@
 	})
 }
 
-// fill claims keys of one shard until a slice is full. Keys are numbered from
-// first on.
+// fill claims keys of one shard until a slice is full. The keys are numbered from
+// first.
 func (bo *Book) fill(shard, first int) {
 	var wg sync.WaitGroup
 	body := strings.Repeat("x", claim.MaxOutcomeBytes)
@@ -225,7 +228,7 @@
 	wg.Wait()
 }
 
-// stored returns the slices of a shard.
+// stored returns the stored slices of a shard.
 func stored(t *testing.T, st *standin.Store, shard int) []claim.Slice {
 	entries, err := st.List(context.Background(), claim.ShardPrefix(shard))
 	if err != nil {
@@ -242,8 +245,8 @@
 	return slices
 }
 
-// A thousand bookings with large answers end at once. What is recorded of
-// them together is more than the platform takes in one value.
+// Guards against a slice that outgrows the platform's limit for one value, when a
+// thousand requests with large responses finish at once.
 func TestLargeBatch(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
@@ -266,15 +269,15 @@
 		wg.Wait()
 		for _, sl := range stored(t, st, acquire("one", "h", "p").Shard) {
 			if raw, err := sl.Encode(); err != nil || len(raw) > platform.MaxValueBytes {
-				t.Errorf("a slice has %d bytes, %v; want at most %d", len(raw), err, platform.MaxValueBytes)
+				t.Errorf("slice has %d bytes (error %v), want at most %d", len(raw), err, platform.MaxValueBytes)
 			}
 		}
 	})
 }
 
-// The writes of a shard follow time, not the number of requests: 400 bookings
-// in a second cost at most a write for each pause.
-func TestWritesFollowTime(t *testing.T) {
+// Guards against one write per request: 400 requests in a second cost at most one
+// write per WritePause.
+func TestWriteRateBounded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
 		bo := newBook(st)
@@ -288,13 +291,14 @@
 		wg.Wait()
 		limit := int(time.Second/WritePause) + 2
 		if got := st.Calls()["put"]; got > limit {
-			t.Errorf("400 bookings cost %d writes, want at most %d", got, limit)
+			t.Errorf("400 requests cost %d writes, want at most %d", got, limit)
 		}
 	})
 }
 
-// The owner of a shard does not answer: the daemon writes the page itself.
-func TestOwnerDoesNotAnswer(t *testing.T) {
+// Guards against failed claims when the owner of a shard does not answer: the daemon
+// writes the slice itself.
+func TestOwnerUnreachable(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		bo := newBook(standin.NewStore(clock.System{}))
 		bo.Owner = func(int) string { return "frozen" }
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -17,46 +17,56 @@
 )
 
 const (
-	// maxTries bounds the compare-and-swaps of one batch.
+	// maxTries limits the compare-and-swaps of one batch.
 	maxTries = 8
-	// batchTimeout bounds one batch.
+	// batchTimeout limits the duration of one batch.
 	batchTimeout = 4 * time.Second
 )
 
 var (
+	// writes counts writes of slices to the key-value service, ops operations on
+	// claims.
 	writes = metrics.NewCounter("corianderhub_claim_writes_total")
 	ops    = metrics.NewCounter("corianderhub_claim_operations_total")
 )
 
-// waiter is an operation whose result is awaited.
-type waiter struct {
+// pendingOp is an operation and the channel for its result.
+type pendingOp struct {
 	op   claim.Op
 	done chan claim.Result
 }
 
-// shard merges the operations on one shard. One goroutine at a time works on
-// it, as long as operations wait.
+// shard merges the operations on one shard. At most one goroutine works on it at a
+// time, as long as operations are waiting.
 type shard struct {
 	num   int
 	store platform.Store
 	clock clock.Clock
 
 	mu      sync.Mutex
-	waiting []*waiter
+	waiting []*pendingOp
 	busy    bool
 
-	// What follows belongs to the working goroutine.
+	// The fields below are used only by the working goroutine. loaded is set while they
+	// reflect the stored slices.
 	loaded bool
-	// sorted is the first slice that the batch was not compared with.
-	sorted  int
-	open    int
-	slice   claim.Slice
-	rev     uint64
-	index   map[string]int
+	// checkedBefore is the number of the first slice in which the operations of the
+	// batch have not been looked up.
+	checkedBefore int
+	// openNum, openSlice and openRev are the number, the content and the revision of
+	// the open slice, the one that accepts claims. openRev is 0 until the slice is
+	// stored.
+	openNum   int
+	openSlice claim.Slice
+	openRev   uint64
+	// index maps the hash of each key in a sealed slice to the number of that slice.
+	index map[string]int
+	// wroteAt is the time of the last write.
 	wroteAt time.Time
 }
 
-func (sh *shard) add(wa *waiter) {
+// add queues an operation and starts the working goroutine if none is running.
+func (sh *shard) add(wa *pendingOp) {
 	ops.Inc()
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -67,6 +77,7 @@
 	}
 }
 
+// work processes batches, at most one per WritePause, until no operation is waiting.
 func (sh *shard) work() {
 	for {
 		if pause := WritePause - sh.clock.Now().Sub(sh.wroteAt); pause > 0 {
@@ -87,9 +98,9 @@
 	}
 }
 
-// process answers every waiter of the batch. What could not be stored, or is
-// not known to be, is answered as unavailable.
-func (sh *shard) process(ctx context.Context, batch []*waiter) {
+// process completes every operation of the batch. An operation that is not stored, or
+// not known to be, gets the result claim.Unavailable.
+func (sh *shard) process(ctx context.Context, batch []*pendingOp) {
 	err := errSealed
 	for try := 0; errors.Is(err, errSealed) && try < maxTries; try++ {
 		batch, err = sh.processSealed(ctx, batch)
@@ -98,27 +109,29 @@
 		}
 	}
 	if err != nil {
-		// The cache may be behind what was written: start afresh.
+		// The cache may lag behind the stored slices, so the next batch reloads them.
 		sh.loaded = false
 		for _, wa := range batch {
-			wa.answer(claim.Result{Answer: claim.Unavailable})
+			wa.complete(claim.Result{Answer: claim.Unavailable})
 		}
 	}
 }
 
-// errSealed says that a key of the batch was sealed away by another writer:
-// the batch has to be sorted again.
-var errSealed = errors.New("claims: the slice was sealed")
+// errSealed means that another writer has sealed a slice that holds a key of the
+// batch. The batch must be looked up in the sealed slices again.
+var errSealed = errors.New("claims: slice was sealed by another daemon")
 
-func (wa *waiter) answer(res claim.Result) {
+// complete delivers the result. Only the first result counts.
+func (wa *pendingOp) complete(res claim.Result) {
 	select {
 	case wa.done <- res:
 	default:
 	}
 }
 
-// load reads the shard's slices. Only the newest may take claims: an older
-// one that reads as unsealed was read stale and is read again.
+// load reads the slices of the shard unless they are cached. Only the newest slice may
+// accept claims. An older one without a seal is a stale read; load fails then, and the
+// next batch reads again.
 func (sh *shard) load(ctx context.Context) error {
 	if sh.loaded {
 		return nil
@@ -128,7 +141,7 @@
 		return err
 	}
 	clear(sh.index)
-	sh.open, sh.slice, sh.rev = 0, claim.Slice{}, 0
+	sh.openNum, sh.openSlice, sh.openRev = 0, claim.Slice{}, 0
 	for i, en := range entries {
 		num, err := strconv.Atoi(en.Key[strings.LastIndexByte(en.Key, '/')+1:])
 		if err != nil {
@@ -139,34 +152,35 @@
 			return eris.Wrap(err, "claims "+en.Key)
 		}
 		if i < len(entries)-1 && !sl.Sealed {
-			return eris.Errorf("claims %s: read stale", en.Key)
+			return eris.Errorf("claims %s: stale read: unsealed slice is not the newest one", en.Key)
 		}
 		if sl.Expired(sh.clock.Now()) {
-			// A lost answer only means that the slice is met again.
+			// If this fails, a later load deletes the slice.
 			_ = sh.store.Delete(ctx, en.Key, en.Revision)
 		}
-		sh.take(num, sl, en.Revision)
+		sh.installSlice(num, sl, en.Revision)
 	}
 	sh.loaded = true
 	return nil
 }
 
-// take makes a slice the open one, or indexes it and opens the next.
-func (sh *shard) take(num int, sl claim.Slice, rev uint64) {
-	sh.open, sh.slice, sh.rev = num, sl, rev
+// installSlice caches a slice as the open one. If the slice is sealed, its keys go
+// into the index, and the next slice becomes the open one.
+func (sh *shard) installSlice(num int, sl claim.Slice, rev uint64) {
+	sh.openNum, sh.openSlice, sh.openRev = num, sl, rev
 	if !sl.Sealed {
 		return
 	}
 	for hash := range sl.Claims {
 		sh.index[hash] = num
 	}
-	sh.open, sh.slice, sh.rev = num+1, claim.Slice{}, 0
+	sh.openNum, sh.openSlice, sh.openRev = num+1, claim.Slice{}, 0
 }
 
-// refresh reads the open slice again, and the ones after it if it was sealed.
+// refresh reads the open slice again, and the following slices if it was sealed.
 func (sh *shard) refresh(ctx context.Context) error {
 	for {
-		num := sh.open
+		num := sh.openNum
 		en, err := sh.store.Get(ctx, claim.SliceKey(sh.num, num))
 		if err != nil {
 			return err
@@ -177,22 +191,22 @@
 				return eris.Wrap(err, "claims "+en.Key)
 			}
 		}
-		sh.take(num, sl, en.Revision)
-		if sh.open == num {
+		sh.installSlice(num, sl, en.Revision)
+		if sh.openNum == num {
 			return nil
 		}
 	}
 }
 
-// processSealed carries out the operations whose key stands in a sealed
-// slice, and returns the others.
-func (sh *shard) processSealed(ctx context.Context, batch []*waiter) ([]*waiter, error) {
+// processSealed executes the operations on keys that sealed slices hold, and returns
+// the other operations.
+func (sh *shard) processSealed(ctx context.Context, batch []*pendingOp) ([]*pendingOp, error) {
 	if err := sh.load(ctx); err != nil {
 		return batch, err
 	}
-	sh.sorted = sh.open
-	var rest []*waiter
-	bySlice := make(map[int][]*waiter)
+	sh.checkedBefore = sh.openNum
+	var rest []*pendingOp
+	bySlice := make(map[int][]*pendingOp)
 	for _, wa := range batch {
 		if num, ok := sh.index[wa.op.Hash]; ok {
 			bySlice[num] = append(bySlice[num], wa)
@@ -201,30 +215,30 @@
 		}
 	}
 	for num, wais := range bySlice {
-		rest = append(rest, sh.answerSealed(ctx, num, wais)...)
+		rest = append(rest, sh.completeSealed(ctx, num, wais)...)
 	}
 	return rest, nil
 }
 
-// answerSealed carries out operations on one sealed slice. It returns those
-// whose key was given back there: they may be claimed anew.
-func (sh *shard) answerSealed(ctx context.Context, num int, wais []*waiter) []*waiter {
+// completeSealed executes operations on one sealed slice. It returns the acquires
+// whose key was released there, which may be claimed again in the open slice.
+func (sh *shard) completeSealed(ctx context.Context, num int, wais []*pendingOp) []*pendingOp {
 	results, err := sh.applySealed(ctx, num, operations(wais))
-	var rest []*waiter
+	var rest []*pendingOp
 	for i, wa := range wais {
 		switch {
 		case err != nil:
-			wa.answer(claim.Result{Answer: claim.Unavailable})
+			wa.complete(claim.Result{Answer: claim.Unavailable})
 		case results[i].Answer == 0:
 			rest = append(rest, wa)
 		default:
-			wa.answer(results[i])
+			wa.complete(results[i])
 		}
 	}
 	return rest
 }
 
-func operations(wais []*waiter) []claim.Op {
+func operations(wais []*pendingOp) []claim.Op {
 	batchOps := make([]claim.Op, len(wais))
 	for i, wa := range wais {
 		batchOps[i] = wa.op
@@ -232,6 +246,8 @@
 	return batchOps
 }
 
+// applySealed writes the result of the operations to a sealed slice, with retries
+// after a conflict or an unknown outcome.
 func (sh *shard) applySealed(ctx context.Context, num int, batchOps []claim.Op) ([]claim.Result, error) {
 	for range maxTries {
 		en, err := sh.store.Get(ctx, claim.SliceKey(sh.num, num))
@@ -259,10 +275,10 @@
 	return nil, platform.ErrUnknown
 }
 
-// processOpen carries out a batch on the open slice with one write. After a
-// conflict or a lost answer it reads and applies again: an operation that was
-// stored already is recognised by its holder and changes nothing.
-func (sh *shard) processOpen(ctx context.Context, batch []*waiter) error {
+// processOpen executes a batch on the open slice with one write. After a conflict or a
+// lost response it reads the slice and applies the batch again. Operations that are
+// already stored are recognized by their holder and change nothing.
+func (sh *shard) processOpen(ctx context.Context, batch []*pendingOp) error {
 	if len(batch) == 0 {
 		return nil
 	}
@@ -273,10 +289,10 @@
 				return err
 			}
 		}
-		results, err := sh.tryOpen(ctx, batchOps, try > 0)
+		results, err := sh.applyOpen(ctx, batchOps, try > 0)
 		if err == nil {
 			for i, wa := range batch {
-				wa.answer(results[i])
+				wa.complete(results[i])
 			}
 			return nil
 		}
@@ -287,14 +303,17 @@
 	return platform.ErrUnknown
 }
 
-// errStale asks for a fresh read before a negative answer is given.
+// errStale requests a fresh read before a negative result is returned.
 var errStale = errors.New("claims: the cached slice may be stale")
 
-func (sh *shard) tryOpen(ctx context.Context, batchOps []claim.Op, fresh bool) ([]claim.Result, error) {
-	if fresh && sh.anySealed(batchOps) {
+// applyOpen makes one attempt to apply the operations to the open slice. fresh is set
+// if the slice has been read since the last attempt. It seals a slice that has become
+// full.
+func (sh *shard) applyOpen(ctx context.Context, batchOps []claim.Op, fresh bool) ([]claim.Result, error) {
+	if fresh && sh.anyInSealedSlice(batchOps) {
 		return nil, errSealed
 	}
-	sl, err := clone(sh.slice)
+	sl, err := clone(sh.openSlice)
 	if err != nil {
 		return nil, err
 	}
@@ -312,26 +331,27 @@
 	if sl.Full(len(raw)) {
 		sl.Seal(sh.clock.Now())
 	}
-	rev, err := sh.put(ctx, sh.open, sl, sh.rev)
+	rev, err := sh.put(ctx, sh.openNum, sl, sh.openRev)
 	if err != nil {
 		return nil, err
 	}
-	sh.take(sh.open, sl, rev)
+	sh.installSlice(sh.openNum, sl, rev)
 	return results, nil
 }
 
-// anySealed tells whether a refresh has put a key of the batch into the index
-// of sealed slices. One that was given back there is in the index too: it is
-// sorted out by reading that slice.
-func (sh *shard) anySealed(batchOps []claim.Op) bool {
+// anyInSealedSlice reports whether a refresh has added a key of the batch to the index
+// of sealed slices. The index also contains keys that were released; reading the slice
+// tells them apart.
+func (sh *shard) anyInSealedSlice(batchOps []claim.Op) bool {
 	for _, op := range batchOps {
-		if num, ok := sh.index[op.Hash]; ok && num >= sh.sorted {
+		if num, ok := sh.index[op.Hash]; ok && num >= sh.checkedBefore {
 			return true
 		}
 	}
 	return false
 }
 
+// allGranted reports whether no result is negative.
 func allGranted(results []claim.Result) bool {
 	for _, res := range results {
 		if res.Answer != claim.Granted && res.Answer != claim.Applied {
@@ -341,6 +361,7 @@
 	return true
 }
 
+// clone returns a deep copy of a slice.
 func clone(sl claim.Slice) (claim.Slice, error) {
 	raw, err := sl.Encode()
 	if err != nil {
@@ -349,6 +370,7 @@
 	return claim.Decode(raw)
 }
 
+// put writes a slice if it is at revision rev, and returns the new revision.
 func (sh *shard) put(ctx context.Context, num int, sl claim.Slice, rev uint64) (uint64, error) {
 	raw, err := sl.Encode()
 	if err != nil {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -12,15 +12,15 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// DefaultTimeout bounds one call that does not wait.
+// DefaultTimeout limits the duration of one call, except for calls that wait.
 const DefaultTimeout = 2 * time.Second
 
-// Client is a Store over the platform's store client, and a VMList. Set the fields
+// Client implements Store on the platform's store client, and VMList. Set the fields
 // before the first call.
 type Client struct {
-	// Address is host:port of the platform's API.
+	// Address is the address of the platform's API, as host:port.
 	Address string
-	// Timeout bounds one call; DefaultTimeout when zero.
+	// Timeout limits the duration of one call. Zero means DefaultTimeout.
 	Timeout time.Duration
 
 	once  sync.Once
@@ -32,6 +32,8 @@
 	_ VMList = (*Client)(nil)
 )
 
+// kv returns the store client. The first call sets the default timeout and creates the
+// client.
 func (cl *Client) kv() *platform.Store {
 	cl.once.Do(func() {
 		if cl.Timeout == 0 {
@@ -42,9 +44,9 @@
 	return cl.store
 }
 
-// outcome turns the errors of the store client into this package's. A lease that
-// has ended is a conflict: what it held may be another daemon's now.
-func outcome(err error) error {
+// mapError maps errors of the store client to those of this package. An expired lease
+// is a conflict, because another daemon may hold its keys by now.
+func mapError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -56,6 +58,7 @@
 	return eris.Wrap(ErrUnknown, err.Error())
 }
 
+// entryOf converts an item of the store client.
 func entryOf(it platform.Item) Entry {
 	return Entry{Key: it.Key, Value: it.Value, Revision: uint64(it.Revision)}
 }
@@ -63,14 +66,14 @@
 // Get implements Store.
 func (cl *Client) Get(ctx context.Context, key string) (Entry, error) {
 	it, _, err := cl.kv().Get(ctx, key)
-	return entryOf(it), outcome(err)
+	return entryOf(it), mapError(err)
 }
 
 // List implements Store.
 func (cl *Client) List(ctx context.Context, prefix string) ([]Entry, error) {
 	items, _, err := cl.kv().Range(ctx, prefix)
 	if err != nil {
-		return nil, outcome(err)
+		return nil, mapError(err)
 	}
 	entries := make([]Entry, len(items))
 	for i, it := range items {
@@ -82,61 +85,61 @@
 // Put implements Store.
 func (cl *Client) Put(ctx context.Context, key string, value []byte, ifRev uint64, lease string) (uint64, error) {
 	if len(value) > MaxValueBytes {
-		return 0, eris.Errorf("platform put %s: %d bytes are over the limit of %d", key, len(value), MaxValueBytes)
+		return 0, eris.Errorf("platform put %s: value has %d bytes, the limit is %d", key, len(value), MaxValueBytes)
 	}
-	id, err := leaseID(lease)
+	id, err := parseLeaseID(lease)
 	if err != nil {
 		return 0, err
 	}
 	rev, err := cl.kv().Txn(ctx, []platform.Condition{{Key: key, Revision: int64(ifRev)}}, []platform.Put{{Key: key, Value: value, Lease: id}}, nil)
-	return uint64(rev), outcome(err)
+	return uint64(rev), mapError(err)
 }
 
 // Delete implements Store.
 func (cl *Client) Delete(ctx context.Context, key string, ifRev uint64) error {
 	_, err := cl.kv().Txn(ctx, []platform.Condition{{Key: key, Revision: int64(ifRev)}}, nil, []string{key})
-	return outcome(err)
+	return mapError(err)
 }
 
 // Watch implements Store.
 func (cl *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) error {
 	_, _, err := cl.kv().Watch(ctx, prefix, int64(after), wait)
 	if errors.Is(err, platform.ErrHistoryGone) {
-		// There may have been a change.
+		// The history after that revision is gone, so there may have been a change.
 		return nil
 	}
-	return outcome(err)
+	return mapError(err)
 }
 
 // Grant implements Store.
 func (cl *Client) Grant(ctx context.Context, ttl time.Duration) (string, error) {
 	id, err := cl.kv().Grant(ctx, ttl)
-	return strconv.FormatInt(id, 10), outcome(err)
+	return strconv.FormatInt(id, 10), mapError(err)
 }
 
 // Renew implements Store.
 func (cl *Client) Renew(ctx context.Context, lease string) error {
-	id, err := leaseID(lease)
+	id, err := parseLeaseID(lease)
 	if err != nil {
 		return err
 	}
-	return outcome(cl.kv().Renew(ctx, id))
+	return mapError(cl.kv().Renew(ctx, id))
 }
 
 // Revoke implements Store.
 func (cl *Client) Revoke(ctx context.Context, lease string) error {
-	id, err := leaseID(lease)
+	id, err := parseLeaseID(lease)
 	if err != nil {
 		return err
 	}
-	return outcome(cl.kv().End(ctx, id))
+	return mapError(cl.kv().End(ctx, id))
 }
 
-// leaseID is a lease's number; 0 stands for none.
-func leaseID(lease string) (int64, error) {
+// parseLeaseID returns the number of a lease, and 0 for "", which means no lease.
+func parseLeaseID(lease string) (int64, error) {
 	if lease == "" {
 		return 0, nil
 	}
 	id, err := strconv.ParseInt(lease, 10, 64)
-	return id, eris.Wrapf(err, "lease %q", lease)
+	return id, eris.Wrapf(err, "invalid lease ID %q", lease)
 }
--- a/internal/platform/vms.go
+++ b/internal/platform/vms.go
@@ -10,12 +10,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxListBytes bounds the list of VMs: some 200 bytes for each of 12,000.
+// maxListBytes limits the size of the list of VMs, which has about 200 bytes for each
+// of 12,000 VMs.
 const maxListBytes = 8 << 20
 
-// VMs implements VMList.
+// VMs implements VMList. It returns ErrUnavailable if the platform does not answer
+// with status 200.
 func (cl *Client) VMs(ctx context.Context, dataCenter string) ([]VM, error) {
-	cl.kv() // It sets the time-out.
+	cl.kv() // Sets the default of cl.Timeout.
 	ctx, cancel := context.WithTimeout(ctx, cl.Timeout)
 	defer cancel()
 	target := url.URL{Scheme: "http", Host: cl.Address, Path: "/vms", RawQuery: url.Values{"data-center": {dataCenter}}.Encode()}
@@ -33,7 +35,7 @@
 		return nil, eris.Wrap(ErrUnavailable, err.Error())
 	}
 	if rsp.StatusCode != http.StatusOK {
-		return nil, eris.Wrapf(ErrUnavailable, "vms: status %d", rsp.StatusCode)
+		return nil, eris.Wrapf(ErrUnavailable, "platform vms: got status %d, want 200", rsp.StatusCode)
 	}
 	var vms []VM
 	return vms, eris.Wrap(json.Unmarshal(body, &vms), "platform vms")
