--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -23,11 +23,11 @@
 	"corianderhub.dev/corianderhub/internal/core/quarantine"
 )
 
-// Beat is the message that a daemon sends to the other daemons at short intervals.
-// Field numbers are never reused with another meaning, because daemons of two versions
-// run together during an upgrade. Number 14 was the load in an earlier encoding, 20
-// the IDs of departed endpoints.
-type Beat struct {
+// Heartbeat is the message that a daemon sends to the other daemons at short
+// intervals. Field numbers are never reused with another meaning, because daemons of
+// two versions run together during an upgrade. Number 14 was the load in an earlier
+// encoding, 20 the IDs of departed endpoints.
+type Heartbeat struct {
 	// IP identifies the daemon. Started identifies the process on it: its start time in
 	// nanoseconds since the Unix epoch. Number is the sequence number of the heartbeat
 	// within the process.
@@ -36,10 +36,10 @@
 	Number     uint64 `cbor:"3,keyasint"`
 	Name       string `cbor:"4,keyasint"`
 	DataCenter string `cbor:"5,keyasint"`
-	// Callers is the address that callers connect to. Taking is set while the daemon
+	// Callers is the address that callers connect to. Accepting is set while the daemon
 	// accepts requests there.
-	Callers string `cbor:"6,keyasint"`
-	Taking  bool   `cbor:"7,keyasint,omitempty"`
+	Callers   string `cbor:"6,keyasint"`
+	Accepting bool   `cbor:"7,keyasint,omitempty"`
 	// Steward is set by the daemon that holds the steward lease. Term is the term of
 	// that lease.
 	Steward bool  `cbor:"8,keyasint,omitempty"`
@@ -56,47 +56,48 @@
 	// requests it counts.
 	Work   dispatch.Work `cbor:"27,keyasint,omitzero"`
 	WorkOf WorkOf        `cbor:"21,keyasint,omitempty"`
-	// HeardTerm and HeardNumber acknowledge the last heartbeat that the daemon received
+	// AckTerm and AckNumber acknowledge the last heartbeat that the daemon received
 	// from a steward. The acknowledgment promises the steward that the daemon will not
 	// try to acquire the lease for a while. Both are 0 while the daemon makes no such
 	// promise.
-	HeardTerm   int64  `cbor:"16,keyasint,omitempty"`
-	HeardNumber uint64 `cbor:"17,keyasint,omitempty"`
-	// HeardFor is the duration of the promise, counted from the time at which the
+	AckTerm   int64  `cbor:"16,keyasint,omitempty"`
+	AckNumber uint64 `cbor:"17,keyasint,omitempty"`
+	// PromiseDuration is the duration of the promise, counted from the time at which the
 	// acknowledged heartbeat was sent.
-	HeardFor time.Duration `cbor:"30,keyasint,omitempty"`
+	PromiseDuration time.Duration `cbor:"30,keyasint,omitempty"`
 	// Uptime is the time since the process started.
 	Uptime time.Duration `cbor:"19,keyasint,omitempty"`
 	// Leaving is set while the daemon shuts down. It does not become steward any more.
 	Leaving bool `cbor:"18,keyasint,omitempty"`
-	// Gone lists endpoints whose departure the daemon has recently seen at the store.
-	Gone []catalog.Instance `cbor:"28,keyasint,omitempty"`
-	// Suspects lists stalled groups.
-	Suspects []Suspect `cbor:"15,keyasint,omitempty"`
-	// Advancing lists groups that the daemon reported as stalled and whose streams make
-	// progress again.
-	Advancing []Suspect `cbor:"29,keyasint,omitempty"`
-	// Ended and Answered report endpoint crashes with the requests in flight at the
-	// time, and completions of such requests. They go to all daemons in direct mode and
-	// otherwise to the steward alone, like Work.
-	Ended    []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
-	Answered []quarantine.Completion `cbor:"32,keyasint,omitempty"`
+	// Departed lists endpoints whose departure the daemon has recently seen at the
+	// store.
+	Departed []catalog.Instance `cbor:"28,keyasint,omitempty"`
+	// StallReports lists stalled groups.
+	StallReports []GroupRef `cbor:"15,keyasint,omitempty"`
+	// ProgressReports lists groups that the daemon reported as stalled and whose
+	// streams make progress again.
+	ProgressReports []GroupRef `cbor:"29,keyasint,omitempty"`
+	// Crashes reports endpoint crashes with the requests in flight at the time,
+	// Completions the completion of such requests. In direct mode they go to all
+	// daemons, otherwise only to the steward, like Work.
+	Crashes     []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
+	Completions []quarantine.Completion `cbor:"32,keyasint,omitempty"`
 	// Quarantine is the digest of the daemon's quarantined requests.
 	Quarantine uint64 `cbor:"33,keyasint,omitempty"`
 	// Backpressure holds the notices of endpoints about how much load they accept. In
 	// direct mode they go to all daemons, otherwise to the steward, which forwards them
 	// to all.
 	Backpressure []backpressure.Notice `cbor:"34,keyasint,omitempty"`
-	// Follows is set while the daemon follows the store itself.
-	Follows bool `cbor:"26,keyasint,omitempty"`
-	// Sound lists groups that were reported as stalled and whose members have all
+	// FollowsStore is set while the daemon follows the store itself.
+	FollowsStore bool `cbor:"26,keyasint,omitempty"`
+	// Healthy lists groups that were reported as stalled and whose members have all
 	// answered since.
-	Sound []Suspect `cbor:"24,keyasint,omitempty"`
-	// Power is the daemon's CPU share, in thousandths of a core.
-	Power int `cbor:"25,keyasint,omitempty"`
-	// Silent lists the IP addresses of daemons from which the steward receives no
+	Healthy []GroupRef `cbor:"24,keyasint,omitempty"`
+	// MilliCPU is the daemon's CPU share, in thousandths of a core.
+	MilliCPU int `cbor:"25,keyasint,omitempty"`
+	// Unresponsive lists the IP addresses of daemons from which the steward receives no
 	// heartbeats.
-	Silent []string `cbor:"22,keyasint,omitempty"`
+	Unresponsive []string `cbor:"22,keyasint,omitempty"`
 	// Change is the difference between the steward's view and the previous one. It is
 	// sent once; a daemon that misses it fetches the whole view.
 	Change *catalog.Change `cbor:"23,keyasint,omitempty"`
@@ -116,8 +117,8 @@
 	WorkRelayed
 )
 
-// Suspect identifies a group in one of its epochs.
-type Suspect struct {
+// GroupRef identifies a group in one of its epochs.
+type GroupRef struct {
 	Group string `cbor:"1,keyasint"`
 	Epoch int64  `cbor:"2,keyasint"`
 }
@@ -140,9 +141,9 @@
 
 // Peer is the state of another daemon: its last heartbeat and local timestamps.
 type Peer struct {
-	Beat
-	// At is when the last heartbeat arrived. It is zero before the first one.
-	At time.Time
+	Heartbeat
+	// ReceivedAt is when the last heartbeat arrived. It is zero before the first one.
+	ReceivedAt time.Time
 	// addedAt is when the peer became known, sentAt when the last heartbeat was sent to
 	// it.
 	addedAt, sentAt time.Time
@@ -157,8 +158,8 @@
 	// daemons.
 	IP, DataCenter string
 	Port           int
-	// OnBeat is called for each heartbeat that Accept takes.
-	OnBeat func(Beat)
+	// OnHeartbeat is called for each heartbeat that Accept takes.
+	OnHeartbeat func(Heartbeat)
 
 	mu    sync.Mutex
 	peers map[string]*Peer
@@ -203,7 +204,7 @@
 			continue
 		}
 		if me.Accept(be) {
-			me.OnBeat(be)
+			me.OnHeartbeat(be)
 		}
 	}
 }
@@ -211,7 +212,7 @@
 // Accept records a heartbeat of another daemon and returns true. It ignores a
 // heartbeat with an invalid address or that of this daemon, and one that is not newer
 // than the last from its sender, and returns false.
-func (me *Mesh) Accept(be Beat) bool {
+func (me *Mesh) Accept(be Heartbeat) bool {
 	if _, err := netip.ParseAddr(be.IP); err != nil || be.IP == me.IP {
 		return false
 	}
@@ -230,7 +231,7 @@
 		}
 		me.Log.Log(context.Background(), level, "mesh: daemon joined.", "daemon", be.Name, "ip", be.IP)
 	}
-	pe.Beat, pe.At = be, now
+	pe.Heartbeat, pe.ReceivedAt = be, now
 	pe.Work, pe.Change = dispatch.Work{}, nil
 	me.applyUnresponsive(be)
 	return true
@@ -250,8 +251,9 @@
 	return pe
 }
 
-// Know adds the daemons with these addresses as peers. It ignores invalid addresses.
-func (me *Mesh) Know(ips []string) {
+// AddPeers adds the daemons with these addresses as peers. It ignores invalid
+// addresses.
+func (me *Mesh) AddPeers(ips []string) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	for _, ip := range ips {
@@ -284,16 +286,16 @@
 	return alive
 }
 
-// HeardWithin returns the daemons whose last heartbeat is younger than span, or than
+// AliveWithin returns the daemons whose last heartbeat is younger than span, or than
 // maxMissedHeartbeats intervals if that is longer.
-func (me *Mesh) HeardWithin(span time.Duration) []Peer {
+func (me *Mesh) AliveWithin(span time.Duration) []Peer {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
 	pa := me.intervals()
 	var recent []Peer
 	for _, pe := range me.peers {
-		if !pe.At.IsZero() && now.Sub(pe.At) < max(span, maxMissedHeartbeats*pa.peerInterval(pe)) {
+		if !pe.ReceivedAt.IsZero() && now.Sub(pe.ReceivedAt) < max(span, maxMissedHeartbeats*pa.peerInterval(pe)) {
 			recent = append(recent, *pe)
 		}
 	}
--- a/internal/mesh/pace.go
+++ b/internal/mesh/pace.go
@@ -52,9 +52,9 @@
 	return len(me.peers) <= maxDirectPeers
 }
 
-// LoadDelay returns the average age of the load reports of other daemons: half of the
+// ReportDelay returns the average age of the load reports of other daemons: half of the
 // interval of each hop plus the latency of each hop.
-func (me *Mesh) LoadDelay() time.Duration {
+func (me *Mesh) ReportDelay() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	pa := me.intervals()
@@ -67,9 +67,9 @@
 	return (pa.load+pa.steward)/2 + 2*reportLatency
 }
 
-// ToldWithin returns the interval between heartbeats with this daemon's own work,
+// WorkInterval returns the interval between heartbeats with this daemon's own work,
 // which go to all daemons or to the steward.
-func (me *Mesh) ToldWithin() time.Duration {
+func (me *Mesh) WorkInterval() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	pa := me.intervals()
@@ -180,7 +180,7 @@
 // isAlive reports whether a daemon's last heartbeat is recent enough for it to count
 // as alive.
 func (pa *intervals) isAlive(ip string, pe *Peer, now time.Time) bool {
-	return !pe.At.IsZero() && now.Sub(pe.At) < max(aliveTimeout, maxMissedHeartbeats*pa.receiveInterval(ip, pe))
+	return !pe.ReceivedAt.IsZero() && now.Sub(pe.ReceivedAt) < max(aliveTimeout, maxMissedHeartbeats*pa.receiveInterval(ip, pe))
 }
 
 // Audience selects the recipients of a heartbeat.
@@ -206,9 +206,9 @@
 	// a new steward at the peer interval so far, and it must notify them at once.
 	timeout := max(aliveTimeout, maxMissedHeartbeats*max(pa.receiveInterval(ip, pe), pa.peerInterval(pe)))
 	switch {
-	case pe.At.IsZero():
+	case pe.ReceivedAt.IsZero():
 		return since >= unresponsiveInterval
-	case now.Sub(pe.At) >= timeout:
+	case now.Sub(pe.ReceivedAt) >= timeout:
 		return since >= max(unresponsiveInterval, pa.sendInterval(ip, pe))
 	case to == ToEveryone, to == ToSteward && (pa.direct || ip == pa.stewardIP):
 		return true
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -30,7 +30,7 @@
 	cl := clock.NewManual(time.Unix(1000, 0))
 	cr := &testMesh{clock: cl, Mesh: &Mesh{Clock: cl, Log: slog.New(slog.DiscardHandler), IP: "10.0.0.1", DataCenter: "dc-0", Port: 7}}
 	for i := range others {
-		cr.receive(i, Beat{})
+		cr.receive(i, Heartbeat{})
 	}
 	return cr
 }
@@ -38,7 +38,7 @@
 func peerIP(num int) string { return fmt.Sprintf("10.0.%d.%d", 1+num/200, 1+num%200) }
 
 // receive delivers a heartbeat from the peer with that number.
-func (cr *testMesh) receive(num int, be Beat) {
+func (cr *testMesh) receive(num int, be Heartbeat) {
 	cr.number++
 	be.IP, be.DataCenter, be.Number, be.Started = peerIP(num), fmt.Sprint("dc-", num%4), cr.number, cr.started
 	cr.Accept(be)
@@ -48,7 +48,7 @@
 func (cr *testMesh) receiveAll(others int, except ...int) {
 	for i := range others {
 		if !slices.Contains(except, i) {
-			cr.receive(i, Beat{Steward: cr.steward == peerIP(i)})
+			cr.receive(i, Heartbeat{Steward: cr.steward == peerIP(i)})
 		}
 	}
 }
@@ -142,7 +142,7 @@
 		cr.clock.Advance(700 * time.Millisecond)
 		cr.receiveAll(others, dead)
 	}
-	unresponsive := steward.Silent()
+	unresponsive := steward.Unresponsive()
 	if !slices.Equal(unresponsive, []string{peerIP(dead)}) {
 		t.Fatalf("unresponsive: %v, want only daemon %d", unresponsive, dead)
 	}
@@ -152,15 +152,15 @@
 	if !alive() {
 		t.Fatal("the peer already counts the daemon as dead before the report of the steward")
 	}
-	peer.receive(2, Beat{Steward: true, Silent: unresponsive})
+	peer.receive(2, Heartbeat{Steward: true, Unresponsive: unresponsive})
 	if !alive() {
 		t.Error("applied the report of a daemon that is not the steward")
 	}
-	peer.receive(1, Beat{Steward: true, Silent: unresponsive})
+	peer.receive(1, Heartbeat{Steward: true, Unresponsive: unresponsive})
 	if alive() {
 		t.Error("the dead daemon still counts as alive after the report of the steward")
 	}
-	peer.receive(1, Beat{Steward: true})
+	peer.receive(1, Heartbeat{Steward: true})
 	if !alive() {
 		t.Error("the daemon does not count as alive after the steward stopped reporting it")
 	}
@@ -179,7 +179,7 @@
 	if got := len(cr.due(ToEveryone)); got != others {
 		t.Errorf("new steward notifies %d daemons at once, want %d", got, others)
 	}
-	if unresponsive := cr.Silent(); len(unresponsive) > 0 {
+	if unresponsive := cr.Unresponsive(); len(unresponsive) > 0 {
 		t.Errorf("%d daemons are reported as unresponsive that were not due to send", len(unresponsive))
 	}
 }
@@ -188,8 +188,8 @@
 // same content share one encoding, so a cached one must not go to another kind.
 func TestDatagramWork(t *testing.T) {
 	own := map[string]dispatch.Load{"a": {Requests: 3}}
-	en := heartbeatEncoder{be: Beat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
-		But: func(ip string) dispatch.Work {
+	en := heartbeatEncoder{be: Heartbeat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
+		Except: func(ip string) dispatch.Work {
 			return dispatch.Work{Loads: map[string]dispatch.Load{ip: {Requests: 1}}, Rates: map[string]float32{"linden": 2.5}}
 		}}}
 	tests := []struct {
@@ -253,10 +253,10 @@
 // Guards against crash reports that dominate the traffic. A crash reports all requests
 // in flight, so with many daemons the report goes only to the steward.
 func TestCrashesSentOnlyToSteward(t *testing.T) {
-	be := Beat{Ended: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
-		Answered: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
+	be := Heartbeat{Crashes: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
+		Completions: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
 	for _, work := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
-		en := heartbeatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		en := heartbeatEncoder{be: be, wo: Work{Except: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(recipientOf(0, work))
 		if err != nil {
 			t.Fatal(err)
@@ -266,10 +266,10 @@
 			t.Fatal(err)
 		}
 		if work == WorkOwn {
-			if diff := cmp.Diff(be.Ended, got.Ended) + cmp.Diff(be.Answered, got.Answered); diff != "" {
+			if diff := cmp.Diff(be.Crashes, got.Crashes) + cmp.Diff(be.Completions, got.Completions); diff != "" {
 				t.Errorf("decoded crashes and completions differ: %s", diff)
 			}
-		} else if len(got.Ended)+len(got.Answered) != 0 {
+		} else if len(got.Crashes)+len(got.Completions) != 0 {
 			t.Errorf("crashes or completions sent with work of %v", work)
 		}
 		if got.Quarantine != be.Quarantine {
@@ -282,10 +282,10 @@
 // many: each daemon sends them to the steward, which forwards them to all. Notices
 // from every daemon to every other one would dominate the traffic.
 func TestBackpressureRecipients(t *testing.T) {
-	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
+	be := Heartbeat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
 		Limit: backpressure.Limit{PerSecond: 1.5, Named: true}, LimitAge: time.Second}}}
 	for work, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
-		en := heartbeatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		en := heartbeatEncoder{be: be, wo: Work{Except: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(recipientOf(0, work))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/mesh/send.go
+++ b/internal/mesh/send.go
@@ -14,14 +14,14 @@
 type Work struct {
 	// Own is the work of this daemon.
 	Own dispatch.Work
-	// But returns the work of all daemons except the one at ip. Only the steward sets
+	// Except returns the work of all daemons except the one at ip. Only the steward sets
 	// it.
-	But func(ip string) dispatch.Work
+	Except func(ip string) dispatch.Work
 }
 
 // Send sends a heartbeat to the recipients that to selects, each with the work meant
 // for it. It returns an error only if encoding fails.
-func (me *Mesh) Send(be Beat, wo Work, to Audience) error {
+func (me *Mesh) Send(be Heartbeat, wo Work, to Audience) error {
 	en := heartbeatEncoder{be: be, wo: wo}
 	for _, re := range me.due(to) {
 		raw, err := en.datagram(re)
@@ -64,7 +64,7 @@
 // expire removes a daemon that sent no heartbeat for longer than deadRetention, and
 // reports whether it did. me.mu must be held.
 func (me *Mesh) expire(ip string, pe *Peer, now time.Time) bool {
-	lastSeen := pe.At
+	lastSeen := pe.ReceivedAt
 	if lastSeen.IsZero() {
 		lastSeen = pe.addedAt
 	}
@@ -93,7 +93,7 @@
 // heartbeatEncoder encodes a heartbeat once for all recipients with the same content.
 // own and none cache the encodings for WorkOwn and WorkNone.
 type heartbeatEncoder struct {
-	be        Beat
+	be        Heartbeat
 	wo        Work
 	own, none []byte
 }
@@ -103,14 +103,14 @@
 	be := en.be
 	be.WorkOf = re.work
 	if re.work != WorkOwn {
-		be.Ended, be.Answered = nil, nil
+		be.Crashes, be.Completions = nil, nil
 	}
 	if re.work == WorkNone {
 		be.Backpressure = nil
 	}
 	switch {
-	case re.work == WorkRelayed && en.wo.But != nil:
-		be.Work = en.wo.But(re.to.Addr().String())
+	case re.work == WorkRelayed && en.wo.Except != nil:
+		be.Work = en.wo.Except(re.to.Addr().String())
 		return encode(be)
 	case re.work == WorkOwn:
 		be.Work = en.wo.Own
@@ -121,7 +121,7 @@
 }
 
 // encodeOnce returns *raw, and sets it to the encoded heartbeat first if it is nil.
-func encodeOnce(raw *[]byte, be Beat) ([]byte, error) {
+func encodeOnce(raw *[]byte, be Heartbeat) ([]byte, error) {
 	if *raw != nil {
 		return *raw, nil
 	}
@@ -130,12 +130,12 @@
 	return *raw, err
 }
 
-func encode(be Beat) ([]byte, error) {
+func encode(be Heartbeat) ([]byte, error) {
 	raw, err := cbor.Marshal(be)
 	return raw, eris.Wrap(err, "encode heartbeat")
 }
 
-func decode(raw []byte) (Beat, error) {
-	var be Beat
+func decode(raw []byte) (Heartbeat, error) {
+	var be Heartbeat
 	return be, eris.Wrap(cbor.Unmarshal(raw, &be), "decode heartbeat")
 }
--- a/internal/mesh/silent.go
+++ b/internal/mesh/silent.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Silent returns the IP addresses of daemons that have recently become unresponsive.
-// The steward sends them to the other daemons, which receive heartbeats from most
-// daemons too seldom to notice soon. It returns nil on other daemons and in direct
-// mode.
-func (me *Mesh) Silent() []string {
+// Unresponsive returns the IP addresses of daemons that have recently become
+// unresponsive. The steward sends them to the other daemons, which receive heartbeats
+// from most daemons too seldom to notice soon. It returns nil on other daemons and in
+// direct mode.
+func (me *Mesh) Unresponsive() []string {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	if len(me.peers) <= maxDirectPeers || me.steward != me.IP {
@@ -18,7 +18,7 @@
 	}
 	var unresponsive []string
 	for ip, pe := range me.peers {
-		if age := now.Sub(pe.At); !pe.At.IsZero() && age > unresponsiveTimeout && age < unresponsiveReportTime {
+		if age := now.Sub(pe.ReceivedAt); !pe.ReceivedAt.IsZero() && age > unresponsiveTimeout && age < unresponsiveReportTime {
 			unresponsive = append(unresponsive, ip)
 		}
 	}
@@ -39,12 +39,12 @@
 
 // applyUnresponsive records the unresponsive daemons that a heartbeat of the steward
 // lists. It ignores heartbeats of other daemons. me.mu must be held.
-func (me *Mesh) applyUnresponsive(be Beat) {
+func (me *Mesh) applyUnresponsive(be Heartbeat) {
 	if !be.Steward || be.IP != me.steward {
 		return
 	}
-	me.unresponsive = make(map[string]bool, len(be.Silent))
-	for _, ip := range be.Silent {
+	me.unresponsive = make(map[string]bool, len(be.Unresponsive))
+	for _, ip := range be.Unresponsive {
 		me.unresponsive[ip] = true
 	}
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -53,13 +53,13 @@
 	After uint64 `cbor:"1,keyasint"`
 }
 
-// SightingsRequest requests the observations that changed since a revision. The
+// ObservationsRequest requests the observations that changed since a revision. The
 // response is control.ObservationsAnswer.
-type SightingsRequest struct {
+type ObservationsRequest struct {
 	Since uint64 `cbor:"1,keyasint"`
 }
 
-// RevokeRequest announces that a group is not complete. The response is Done.
+// RevokeRequest announces that a group is not complete. The response is EmptyAnswer.
 type RevokeRequest struct {
 	Group string `cbor:"1,keyasint"`
 	Fence uint64 `cbor:"2,keyasint"`
@@ -71,15 +71,15 @@
 	Op claim.Op `cbor:"1,keyasint"`
 }
 
-// Done is an empty response.
-type Done struct{}
+// EmptyAnswer is an empty response.
+type EmptyAnswer struct{}
 
-func (PullRequest) kind() kind      { return kindPull }
-func (DocsRequest) kind() kind      { return kindDocs }
-func (ConfigRequest) kind() kind    { return kindConfig }
-func (SightingsRequest) kind() kind { return kindObservations }
-func (RevokeRequest) kind() kind    { return kindRevoke }
-func (ClaimRequest) kind() kind     { return kindClaim }
+func (PullRequest) kind() kind         { return kindPull }
+func (DocsRequest) kind() kind         { return kindDocs }
+func (ConfigRequest) kind() kind       { return kindConfig }
+func (ObservationsRequest) kind() kind { return kindObservations }
+func (RevokeRequest) kind() kind       { return kindRevoke }
+func (ClaimRequest) kind() kind        { return kindClaim }
 
 // frame is a request on the wire.
 type frame struct {
@@ -118,7 +118,7 @@
 	case kindConfig:
 		return decodeAs[ConfigRequest](fr.Body)
 	case kindObservations:
-		return decodeAs[SightingsRequest](fr.Body)
+		return decodeAs[ObservationsRequest](fr.Body)
 	case kindRevoke:
 		return decodeAs[RevokeRequest](fr.Body)
 	case kindClaim:
--- a/internal/platform/chainstore/chainstore.go
+++ b/internal/platform/chainstore/chainstore.go
@@ -59,8 +59,8 @@
 	Entries []chain.Entry
 }
 
-// After reads the changes from revision after to the head.
-func (st Store) After(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
+// UpdateSince reads the changes from revision after to the head.
+func (st Store) UpdateSince(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
 	up := Update{Head: hd}
 	from := after
 	useSnapshot := after < hd.SnapshotRevision
@@ -114,9 +114,9 @@
 	return chain.Join(pieces)
 }
 
-// Config returns the result of the update on cfg. It skips entries that cfg already
+// ApplyTo returns the result of the update on cfg. It skips entries that cfg already
 // contains.
-func (up Update) Config(cfg *intent.Config) (*intent.Config, error) {
+func (up Update) ApplyTo(cfg *intent.Config) (*intent.Config, error) {
 	if up.Snapshot != nil && up.Snapshot.Revision > cfg.Revision {
 		cfg = up.Snapshot
 	}
@@ -133,8 +133,8 @@
 	return cfg, nil
 }
 
-// Apply is a request of an operator to change the configuration.
-type Apply struct {
+// ApplyRequest is a request of an operator to change the configuration.
+type ApplyRequest struct {
 	Change intent.Change
 	// Operation identifies the apply. Repeating an apply with the same identifier has
 	// no further effect.
@@ -146,8 +146,8 @@
 	Base uint64
 }
 
-// Applied is the result of an accepted change.
-type Applied struct {
+// ApplyResult is the result of an accepted change.
+type ApplyResult struct {
 	// Revision is the revision that the change created. Update leads to it or a later
 	// one.
 	Revision uint64
@@ -166,11 +166,11 @@
 // Apply appends the change to the chain, atomically. An invalid change is refused with
 // FaultsError. Any other error is a verdict.Error, whose verdict says whether the
 // change may be in force. cfg is any known configuration.
-func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, error) {
+func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap ApplyRequest) (ApplyResult, error) {
 	maybeWritten := false
 	var err error
 	for range maxApplyTries {
-		var done Applied
+		var done ApplyResult
 		var tried bool
 		done, tried, err = st.tryApply(ctx, cfg, ap)
 		if err == nil {
@@ -180,7 +180,7 @@
 		var ve *verdict.Error
 		var fe *FaultsError
 		if errors.As(err, &ve) || errors.As(err, &fe) {
-			return Applied{}, err
+			return ApplyResult{}, err
 		}
 		if errors.Is(err, platform.ErrUnavailable) && !maybeWritten {
 			break
@@ -189,45 +189,45 @@
 			break
 		}
 	}
-	return Applied{}, platformError(err, maybeWritten)
+	return ApplyResult{}, platformError(err, maybeWritten)
 }
 
 // tryApply makes one attempt. Its second result reports whether the head may have been
 // written although an error is returned.
-func (st Store) tryApply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, bool, error) {
+func (st Store) tryApply(ctx context.Context, cfg *intent.Config, ap ApplyRequest) (ApplyResult, bool, error) {
 	hd, rev, err := st.Head(ctx)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
-	up, err := st.After(ctx, hd, oldestRevision(cfg.Revision, ap.Base))
+	up, err := st.UpdateSince(ctx, hd, oldestRevision(cfg.Revision, ap.Base))
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	// After a lost response or a conflict, an earlier write of this apply may have
 	// succeeded, even if later applies followed. The head shows whether it did.
 	if revision, ok := hd.Find(ap.Operation); ok {
-		return Applied{Revision: revision, Update: up}, false, nil
+		return ApplyResult{Revision: revision, Update: up}, false, nil
 	}
 	if err := checkConflict(up, ap); err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
-	current, err := up.Config(cfg)
+	current, err := up.ApplyTo(cfg)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	if faults := current.CheckChange(ap.Change); len(faults) > 0 {
-		return Applied{}, false, &FaultsError{Faults: faults}
+		return ApplyResult{}, false, &FaultsError{Faults: faults}
 	}
 	next, snapshot, err := st.prepare(ctx, hd, current, ap)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	if err := st.swapHead(ctx, next.Head, rev); err != nil {
-		return Applied{}, errors.Is(err, platform.ErrUnknown), err
+		return ApplyResult{}, errors.Is(err, platform.ErrUnknown), err
 	}
 	next.Snapshot = up.Snapshot
 	next.Entries = append(up.Entries, next.Entries...)
-	return Applied{Revision: next.Head.Revision, Update: next, Snapshotted: snapshot}, false, nil
+	return ApplyResult{Revision: next.Head.Revision, Update: next, Snapshotted: snapshot}, false, nil
 }
 
 // oldestRevision returns the revision to read back to, so that the update contains all
@@ -241,7 +241,7 @@
 
 // checkConflict returns an error if another apply changed an object of ap after
 // ap.Base.
-func checkConflict(up Update, ap Apply) error {
+func checkConflict(up Update, ap ApplyRequest) error {
 	base := ap.Base
 	if base == 0 {
 		return nil
@@ -281,7 +281,7 @@
 
 // prepare stores all values that the next head refers to. Its second result reports
 // whether that includes a new snapshot.
-func (st Store) prepare(ctx context.Context, hd chain.Head, current *intent.Config, ap Apply) (Update, bool, error) {
+func (st Store) prepare(ctx context.Context, hd chain.Head, current *intent.Config, ap ApplyRequest) (Update, bool, error) {
 	en, err := chain.NewEntry(hd, ap.Change, ap.Operation, ap.Operator)
 	if err != nil {
 		return Update{}, false, err
--- a/internal/platform/claims/book.go
+++ b/internal/platform/claims/book.go
@@ -15,9 +15,9 @@
 	"corianderhub.dev/corianderhub/internal/platform"
 )
 
-// WritePause is the minimum time between two writes of a shard by one daemon. All
-// shards together make at most Shards/WritePause writes per second.
-const WritePause = 100 * time.Millisecond
+// MinWriteInterval is the minimum time between two writes of a shard by one daemon.
+// All shards together make at most Shards/MinWriteInterval writes per second.
+const MinWriteInterval = 100 * time.Millisecond
 
 // retryPauses are the pauses after failed attempts of a background operation, such as
 // the release of a claim that may have been stored although its request was refused as
@@ -27,8 +27,8 @@
 // Forward passes an operation to the daemon at a peer address.
 type Forward func(ctx context.Context, peer string, op claim.Op) (claim.Result, error)
 
-// Book executes claim operations. Set the exported fields before use.
-type Book struct {
+// Registry executes claim operations. Set the exported fields before use.
+type Registry struct {
 	Store platform.Store
 	Clock clock.Clock
 	// Owner returns the peer address of the daemon that merges the operations of a
@@ -44,18 +44,18 @@
 
 // Do executes the operation through the shard's owner, or directly if the owner does
 // not answer or answers claim.Unavailable.
-func (bo *Book) Do(ctx context.Context, op claim.Op) claim.Result {
+func (bo *Registry) Do(ctx context.Context, op claim.Op) claim.Result {
 	if addr := bo.Owner(op.Shard); addr != "" {
 		if res, err := bo.Forward(ctx, addr, op); err == nil && res.Answer != claim.Unavailable {
 			return res
 		}
 	}
-	return bo.Local(ctx, op)
+	return bo.DoLocal(ctx, op)
 }
 
-// Local executes the operation on this daemon. If ctx ends first, it returns
+// DoLocal executes the operation on this daemon. If ctx ends first, it returns
 // claim.Unavailable, and the operation may still be stored.
-func (bo *Book) Local(ctx context.Context, op claim.Op) claim.Result {
+func (bo *Registry) DoLocal(ctx context.Context, op claim.Op) claim.Result {
 	sh := bo.shard(op.Shard)
 	wa := &pendingOp{op: op, done: make(chan claim.Result, 1)}
 	sh.add(wa)
@@ -67,9 +67,9 @@
 	}
 }
 
-// Settle releases a claim in the background, and retries until that succeeds or
-// retryPauses is used up.
-func (bo *Book) Settle(op claim.Op) {
+// ReleaseInBackground releases a claim in the background. It retries until that
+// succeeds or retryPauses is used up.
+func (bo *Registry) ReleaseInBackground(op claim.Op) {
 	op.Kind = claim.Release
 	begin := bo.Clock.Now()
 	bo.retryInBackground(func(ctx context.Context) bool {
@@ -85,8 +85,9 @@
 	})
 }
 
-// Record stores an outcome in the background, with retries like Settle.
-func (bo *Book) Record(op claim.Op) {
+// RecordInBackground stores an outcome in the background, with retries like
+// ReleaseInBackground.
+func (bo *Registry) RecordInBackground(op claim.Op) {
 	op.Kind = claim.Record
 	bo.retryInBackground(func(ctx context.Context) bool { return bo.Do(ctx, op).Answer != claim.Unavailable })
 }
@@ -96,7 +97,7 @@
 
 // retryInBackground calls try until it returns true, at most once per entry of
 // retryPauses, and pauses after each failure.
-func (bo *Book) retryInBackground(try func(ctx context.Context) bool) {
+func (bo *Registry) retryInBackground(try func(ctx context.Context) bool) {
 	bo.pending.Add(1)
 	go func() {
 		defer bo.pending.Done()
@@ -113,7 +114,7 @@
 }
 
 // Wait returns when all background operations have finished or ctx ends.
-func (bo *Book) Wait(ctx context.Context) {
+func (bo *Registry) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		bo.pending.Wait()
@@ -126,7 +127,7 @@
 }
 
 // shard returns the shard with that number and creates it if necessary.
-func (bo *Book) shard(num int) *shard {
+func (bo *Registry) shard(num int) *shard {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	if bo.shards[num] == nil {
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -40,7 +40,7 @@
 func bubble(t *testing.T, fn func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		fn(t)
-		time.Sleep(2 * WritePause)
+		time.Sleep(2 * MinWriteInterval)
 	})
 }
 
@@ -50,8 +50,8 @@
 	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: fingerprint}
 }
 
-func newBook(st *standin.Store) *Book {
-	return &Book{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
+func newBook(st *standin.Store) *Registry {
+	return &Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 }
 
 // dispatchCounter counts how often each key was dispatched.
@@ -84,7 +84,7 @@
 func randomClaims(steps []int) error {
 	st := standin.NewStore(clock.System{})
 	ru := &dispatchCounter{keys: make(map[string]int)}
-	books := []*Book{newBook(st), newBook(st)}
+	books := []*Registry{newBook(st), newBook(st)}
 	all := slices.Clone(books)
 	var wg sync.WaitGroup
 	for i, step := range steps {
@@ -122,7 +122,7 @@
 
 // attempt runs one request with a key. crash selects the point where the daemon
 // crashes.
-func attempt(bo *Book, ru *dispatchCounter, key, holder string, crash int) {
+func attempt(bo *Registry, ru *dispatchCounter, key, holder string, crash int) {
 	const (
 		beforeDispatch = 1
 		refused        = 2
@@ -134,7 +134,7 @@
 	switch bo.Do(ctx, op).Answer {
 	case claim.Granted:
 	case claim.Unavailable:
-		bo.Settle(op)
+		bo.ReleaseInBackground(op)
 		return
 	default:
 		return
@@ -152,7 +152,7 @@
 		return
 	}
 	op.Outcome = &claim.Outcome{Status: 200}
-	bo.Record(op)
+	bo.RecordInBackground(op)
 }
 
 // Guards against a key that is granted twice when many daemons write the same shard at
@@ -198,7 +198,7 @@
 		}
 		again := op
 		again.Holder = "b"
-		for name, bo := range map[string]*Book{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
+		for name, bo := range map[string]*Registry{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
 			if got := bo.Do(ctx, again).Answer; got != claim.Duplicate {
 				t.Errorf("%s: acquire = %v, want duplicate", name, got)
 			}
@@ -218,7 +218,7 @@
 
 // fill claims keys of one shard until a slice is full. The keys are numbered from
 // first.
-func (bo *Book) fill(shard, first int) {
+func (bo *Registry) fill(shard, first int) {
 	var wg sync.WaitGroup
 	body := strings.Repeat("x", claim.MaxOutcomeBytes)
 	for i := range claim.SliceBytes/len(body) + 10 {
@@ -276,7 +276,7 @@
 }
 
 // Guards against one write per request: 400 requests in a second cost at most one
-// write per WritePause.
+// write per MinWriteInterval.
 func TestWriteRateBounded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
@@ -289,7 +289,7 @@
 			time.Sleep(2500 * time.Microsecond)
 		}
 		wg.Wait()
-		limit := int(time.Second/WritePause) + 2
+		limit := int(time.Second/MinWriteInterval) + 2
 		if got := st.Calls()["put"]; got > limit {
 			t.Errorf("400 requests cost %d writes, want at most %d", got, limit)
 		}
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -77,10 +77,11 @@
 	}
 }
 
-// work processes batches, at most one per WritePause, until no operation is waiting.
+// work processes batches, at most one per MinWriteInterval, until no operation is
+// waiting.
 func (sh *shard) work() {
 	for {
-		if pause := WritePause - sh.clock.Now().Sub(sh.wroteAt); pause > 0 {
+		if pause := MinWriteInterval - sh.clock.Now().Sub(sh.wroteAt); pause > 0 {
 			sh.clock.Sleep(context.Background(), pause)
 		}
 		sh.mu.Lock()
