--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -53,8 +53,8 @@
 	Clock    clock.Clock
 	Log      *slog.Logger
 	Pools    *Pools
-	Engines  endpoint.Engines
-	Services endpoint.Services
+	Engines  endpoint.EngineClient
+	Services endpoint.ServiceClient
 	Claims   *claims.Registry
 	Journal  *Journal
 	// DataCenter is this daemon's own.
--- a/internal/core/control/platform_test.go
+++ b/internal/core/control/platform_test.go
@@ -16,7 +16,7 @@
 )
 
 func (w *world) readConfig(no *node, ac control.ReadConfig) {
-	failed := control.ConfigArrived{Source: control.FlyPlatformConfig}
+	failed := control.ConfigArrived{Source: control.SourcePlatformConfig}
 	w.call(no, platformID, failed, func(answer func(control.Event)) {
 		st := chainstore.Store{KV: w.store, Clock: w.clock}
 		hd, _, err := st.Head(context.Background())
@@ -27,7 +27,7 @@
 		if err != nil {
 			return
 		}
-		answer(control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
+		answer(control.ConfigArrived{Source: control.SourcePlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
 	})
 }
 
@@ -44,7 +44,7 @@
 			}
 			epoch, err := w.store.Put(ctx, "stewards/"+dc, []byte(no.name), 0, lease)
 			if err == nil {
-				answer(control.LeaseWon{Lease: lease, Epoch: epoch, SentAt: now})
+				answer(control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: now})
 				return
 			}
 			w.store.Revoke(ctx, lease)
@@ -65,7 +65,7 @@
 				answer(control.LeaseFailed{SentAt: now})
 			}
 		})
-	case control.DropLease:
+	case control.ReleaseLease:
 		w.call(no, platformID, nil, func(func(control.Event)) { w.store.Revoke(ctx, ac.Lease) })
 	case control.ReadDomains:
 		w.call(no, platformID, control.DomainsRead{Failed: true}, func(answer func(control.Event)) {
@@ -93,14 +93,14 @@
 			answer(control.VMsRead{VMs: w.listed(dc)})
 		})
 	case control.WriteDomain:
-		w.call(no, platformID, control.DomainUncertain{Name: ac.Domain.Name}, func(answer func(control.Event)) {
+		w.call(no, platformID, control.DomainWriteUnconfirmed{Name: ac.Domain.Name}, func(answer func(control.Event)) {
 			raw, err := json.Marshal(ac.Domain)
 			if err != nil {
 				w.t.Fatal(err)
 			}
 			rev, err := w.store.Put(ctx, control.DomainKey(dc, ac.Domain.Name), raw, ac.IfRevision, "")
 			if err != nil {
-				answer(control.DomainUncertain{Name: ac.Domain.Name})
+				answer(control.DomainWriteUnconfirmed{Name: ac.Domain.Name})
 				return
 			}
 			answer(control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}})
--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -69,7 +69,7 @@
 	vm.polling = true
 	po := Poll{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Timeout: maxPollTimeout}
 	if po.Urgent {
-		po.Timeout = co.pollRTT.Limit(minUrgentTimeout, maxPollTimeout)
+		po.Timeout = co.pollRTT.Timeout(minUrgentTimeout, maxPollTimeout)
 	}
 	return po
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,7 +67,7 @@
 	platform *platform.Client
 	chain    chainstore.Store
 	claims   *claims.Registry
-	members  endpoint.Members
+	members  endpoint.MemberClient
 	callers  *caller.Server
 	journal  *caller.Journal
 	leave    chan struct{}
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -25,7 +25,7 @@
 	ct.number++
 	set := ct.da.Settings
 	be := mesh.Heartbeat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Accepting: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
+		Callers: set.Callers, Accepting: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
 		Departed: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), StallReports: ex.suspects, ProgressReports: ex.advancing, Change: ex.change,
 		MilliCPU: int(set.CPUShare * 1000), FollowsStore: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
@@ -38,12 +38,12 @@
 	relay := ct.lease.settled() && !ct.da.mesh.Direct()
 	be.Backpressure = ct.da.backpressure.PendingNotices(now, ct.tellFor(), relay)
 	ct.lease.sent(ct.number)
-	work := mesh.Work{Own: ct.da.table.Own(now)}
+	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.settled() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
 		be.Unresponsive = ct.da.mesh.Unresponsive()
 		be.Healthy = ct.sound.lately(now)
-		work.Except = func(ip string) dispatch.Work { return ct.da.table.WorkBut(ip, now) }
+		work.Except = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
 		ct.da.Log.Error("control: beat not sent.", "cause", err.Error())
@@ -55,9 +55,9 @@
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
-		ct.da.table.PeerWork(be.IP, be.Work, now)
+		ct.da.table.ApplyPeerWork(be.IP, be.Work, now)
 	case mesh.WorkRelayed:
-		ct.da.table.RelayedWork(be.Work, now)
+		ct.da.table.ApplyRelayedWork(be.Work, now)
 	case mesh.WorkNone:
 	}
 	ct.served = ct.served || be.Served
@@ -91,7 +91,7 @@
 	ct.steward, ct.heard = be, now
 	ct.da.mesh.SetSteward(be.IP)
 	for _, su := range be.Healthy {
-		ct.da.table.Sound(su.Group)
+		ct.da.table.MarkHealthy(su.Group)
 	}
 	ct.confirm(now.Add(-be.Age - hearDelay))
 	if ct.told == nil || be.Term > ct.told.Term || be.Term == ct.told.Term && be.View > ct.told.Sequence {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -210,13 +210,13 @@
 	ct.logTotals(now)
 	if now.After(ct.sweepDue) {
 		ct.sweepDue = now.Add(poolSweep)
-		ct.da.pool.Sweep()
+		ct.da.pool.CloseExpired()
 		ct.ends.sweep(now)
 		ct.da.quarantine.Sweep(now)
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetDelay(ct.da.mesh.ReportDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.ReportDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -227,8 +227,8 @@
 func (ct *control) shareBudgets() {
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
-	ct.da.front.SetDaemons(num)
-	ct.da.table.SetDaemons(num)
+	ct.da.front.SetDaemonCount(num)
+	ct.da.table.SetDaemonCount(num)
 }
 
 // shareLimits tells among which daemons the endpoints' limits are divided.
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -21,7 +21,7 @@
 // 1,000 questions, and small machines were too late for the answers.
 func (ct *control) stepStalls(now time.Time) {
 	ct.tellAdvancing(now)
-	stalled := ct.da.table.Stalled(now)
+	stalled := ct.da.table.StalledGroups(now)
 	if len(stalled) == 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 // unanswered.
 func (ct *control) tellAdvancing(now time.Time) {
 	var groups []mesh.GroupRef
-	for _, gr := range ct.da.table.Advancing() {
+	for _, gr := range ct.da.table.RecoveredGroups() {
 		groups = append(groups, mesh.GroupRef{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
 			ct.lease.core.HandleProgressReport(gr.Name, gr.Epoch, now)
@@ -113,11 +113,11 @@
 	for range gr.Members {
 		if id := <-lost; id != "" {
 			ct.da.Log.Info("control: group lost a member.", "group", gr.Name, "member", id)
-			ct.da.table.Broken(gr.Name, ct.da.Clock.Now())
+			ct.da.table.MarkBroken(gr.Name, ct.da.Clock.Now())
 			return
 		}
 	}
-	ct.da.table.Sound(gr.Name)
+	ct.da.table.MarkHealthy(gr.Name)
 }
 
 // answers tells whether a member is there and still belongs to the group.
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -104,7 +104,7 @@
 // Watch implements Store.
 func (cl *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) error {
 	_, _, err := cl.kv().Watch(ctx, prefix, int64(after), wait)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		// The history after that revision is gone, so there may have been a change.
 		return nil
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	return mapError(cl.kv().End(ctx, id))
+	return mapError(cl.kv().Revoke(ctx, id))
 }
 
 // parseLeaseID returns the number of a lease, and 0 for "", which means no lease.
