--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// lateAnswer bounds the wait for an answer that counts as missing already: when it
-	// comes, it tells that the endpoint lives.
-	lateAnswer = 1200 * time.Millisecond
-	// timerSlack is how late a timer of this machine may be: beyond it the machine stood
-	// still, and an answer may wait unread. Its share of a processor is dealt out in
-	// tenths of a second.
+	// lateReportTimeout bounds the wait for a report that already counts as missing. A
+	// late report still shows that the endpoint is alive.
+	lateReportTimeout = 1200 * time.Millisecond
+	// timerSlack is how late a timer may fire before the delay is attributed to this
+	// machine. The CPU quota is enforced in periods of 100 ms, so a throttled process may
+	// leave a received answer unread.
 	timerSlack = 20 * time.Millisecond
-	// orderTimeout bounds an order. One without an answer is found out about
-	// by asking the endpoint.
+	// orderTimeout bounds an order. If an order is not answered, the steward polls the
+	// endpoint to find out whether it took effect.
 	orderTimeout = 300 * time.Millisecond
-	// maxReport bounds a report.
-	maxReport = 64 << 10
-	// stepShare is the part of the control loop's time that the steward's steps may
-	// take. A step for 1,100 VMs takes a millisecond or two, and events come in
-	// thousands a second when a steward begins.
+	// maxReportBytes bounds the body of a report.
+	maxReportBytes = 64 << 10
+	// stepShare is the maximum share of the control loop's time spent in steward steps. A
+	// step for 1,100 VMs takes 1 to 2 ms, and a new steward receives thousands of events
+	// per second.
 	stepShare = 0.25
-	// demandInterval is the time between looks at what callers ask for. Daemons tell of it
-	// some ten times a second.
+	// demandInterval is the time between updates of the demand in the steward's core.
+	// Daemons report demand about ten times per second.
 	demandInterval = 100 * time.Millisecond
 )
 
-// stepSteward does the steward's work, while the lease is certainly held.
+// stepSteward runs one step of the steward's core and executes its calls. It does nothing
+// unless this daemon certainly holds the lease.
 func (ct *control) stepSteward(now time.Time) {
 	sh := &ct.lease
 	if sh.core == nil {
@@ -52,15 +53,15 @@
 	if !ct.haveAll || ct.da.currentConfig() == nil {
 		return
 	}
-	if !sh.asked {
-		sh.asked = true
+	if !sh.registered {
+		sh.registered = true
 		for _, ep := range ct.endpoints {
 			sh.core.Register(ep, now)
 		}
-		ct.recall(now)
+		ct.restoreMembers(now)
 	}
-	sh.core.Initial = ct.initial()
-	if wait := sh.stepAfter.Sub(now); wait > 0 {
+	sh.core.Initial = ct.isInitialStart()
+	if wait := sh.nextStep.Sub(now); wait > 0 {
 		ct.wake.Reset(wait)
 		return
 	}
@@ -74,23 +75,23 @@
 	ct.logEvents(sh.core.Events())
 	ct.publish()
 	took := ct.da.Clock.Now().Sub(now)
-	sh.stepAfter = now.Add(time.Duration(float64(took) / stepShare))
+	sh.nextStep = now.Add(time.Duration(float64(took) / stepShare))
 }
 
-// initial tells whether the system starts for the first time and no caller has sent
-// a request yet: loads are free then. After a loss of all daemons none has served
-// either, and the weight store's limit holds.
-func (ct *control) initial() bool {
+// isInitialStart reports whether the system starts for the first time and has not served
+// any request yet. Only then are loads exempt from the weight store's rate limit: after a
+// loss of all daemons the served counters are zero too, but the limit applies.
+func (ct *control) isInitialStart() bool {
 	return ct.da.Settings.Bootstrap && !ct.served && ct.da.front.Served() == 0
 }
 
-// recall tells a new steward of members that the last view named and the store
-// does not name in the same life, so that it does not wait for their entries.
-func (ct *control) recall(now time.Time) {
-	if ct.told == nil {
+// restoreMembers passes members of the last view to a new steward if the store has no entry
+// for the same incarnation, so that the steward does not wait for their entries.
+func (ct *control) restoreMembers(now time.Time) {
+	if ct.stewardView == nil {
 		return
 	}
-	for _, gr := range ct.told.Groups {
+	for _, gr := range ct.stewardView.Groups {
 		for _, me := range gr.Members {
 			if ep, ok := ct.endpoints[me.ID]; !ok || ep.Incarnation.Differs(me.Incarnation) {
 				ct.lease.core.Recall(gr, me, now)
@@ -99,10 +100,12 @@
 	}
 }
 
+// logEvents counts and logs the events of the steward's core. Groups found healthy are
+// announced to the other daemons instead.
 func (ct *control) logEvents(evs []steward.Event) {
 	for _, ev := range evs {
 		if ev.What == steward.GroupSound {
-			ct.sound.note(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
+			ct.healthy.add(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
 			ct.da.table.Sound(ev.Group)
 			continue
 		}
@@ -112,12 +115,12 @@
 	}
 }
 
-// maxChangeMembers bounds the members that a change names which goes out with a
-// beat: some 40 bytes each, so that it stays within a few packets.
+// maxChangeMembers bounds the members in a view change that is sent with a heartbeat. Each
+// takes about 40 bytes, so the heartbeat fits into a few packets.
 const maxChangeMembers = 64
 
-// publish replaces the view if anything in it has changed, and tells the other
-// daemons at once.
+// publish publishes a new view if the groups or plain endpoints have changed, and sends it
+// to all daemons immediately.
 func (ct *control) publish() {
 	sh := &ct.lease
 	cfg := ct.da.currentConfig()
@@ -127,36 +130,35 @@
 	}
 	sh.sequence++
 	vi.Sequence = sh.sequence
-	ex := beatExtra{to: mesh.ToEveryone}
+	ex := heartbeatExtra{to: mesh.ToEveryone}
 	if sh.published != nil {
 		if ch := sh.published.ChangeTo(vi); ch.Members() <= maxChangeMembers {
 			ex.change = ch
 		}
 	}
 	sh.published = vi
-	ct.hearView(vi)
-	ct.sendBeat(ex)
+	ct.applyView(vi)
+	ct.sendHeartbeat(ex)
 	st := ct.da.stats.Load()
 	ct.da.Log.Info("steward: view published.", "term", sh.term, "view", sh.sequence, "serving", st.Serving, "by-model", st.ByModel, "busy", st.Busy, "forming", st.Forming,
 		"broken", st.Broken, "spares", st.Spares, "stranded", st.Stranded, "down", st.Down)
 }
 
-// execute makes the steward's calls, each in a goroutine of its own.
+// execute runs each of the steward's calls in its own goroutine.
 func (ct *control) execute(calls []steward.Call) {
 	core, term := ct.lease.core, ct.lease.term
 	for _, ca := range calls {
 		switch ca := ca.(type) {
 		case steward.Ask:
-			ct.da.once(&ct.wg, func(ctx context.Context) { ct.ask(ctx, core, ca) })
+			ct.da.spawn(&ct.wg, func(ctx context.Context) { ct.poll(ctx, core, ca) })
 		case steward.Command:
-			ct.da.once(&ct.wg, func(ctx context.Context) { ct.command(ctx, core, term, ca) })
+			ct.da.spawn(&ct.wg, func(ctx context.Context) { ct.command(ctx, core, term, ca) })
 		}
 	}
 }
 
-// forCore runs fn in the control loop if this daemon is still the steward that
-// made the call.
-func (ct *control) forCore(core *steward.Core, fn func(*steward.Core, time.Time)) {
+// withCore runs fn in the control loop if core is still the active steward core.
+func (ct *control) withCore(core *steward.Core, fn func(*steward.Core, time.Time)) {
 	ct.post(func() {
 		if ct.lease.core == core {
 			fn(core, ct.da.Clock.Now())
@@ -164,21 +166,21 @@
 	})
 }
 
-// ask puts a question. Its answer counts also when it comes after the question's
-// limit.
-func (ct *control) ask(ctx context.Context, core *steward.Core, as steward.Ask) {
-	asked := ct.da.Clock.Now()
+// poll requests an endpoint's report. The report is also used if it arrives after the
+// poll's timeout.
+func (ct *control) poll(ctx context.Context, core *steward.Core, as steward.Ask) {
+	sentAt := ct.da.Clock.Now()
 	answered, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var re catalog.Report
 	var err error
-	ct.da.once(&ct.wg, func(ctx context.Context) {
+	ct.da.spawn(&ct.wg, func(ctx context.Context) {
 		defer cancel()
-		re, err = ct.da.report(ctx, as.ID, as.Address, lateAnswer, as.Urgent)
+		re, err = ct.da.report(ctx, as.ID, as.Address, lateReportTimeout, as.Urgent)
 	})
 	if ct.da.Clock.Sleep(answered, as.Limit) == nil {
-		late := ct.da.Clock.Now().Sub(asked) > as.Limit+timerSlack
-		ct.unanswered(core, as, asked, late, "no answer in time")
+		late := ct.da.Clock.Now().Sub(sentAt) > as.Limit+timerSlack
+		ct.pollFailed(core, as, sentAt, late, "poll timed out")
 		<-answered.Done()
 		if err != nil || ctx.Err() != nil {
 			return
@@ -188,26 +190,26 @@
 		return
 	}
 	if err != nil {
-		ct.unanswered(core, as, asked, false, err.Error())
+		ct.pollFailed(core, as, sentAt, false, err.Error())
 		return
 	}
-	ct.forCore(core, func(co *steward.Core, now time.Time) { co.Reported(as.ID, re, asked, now) })
+	ct.withCore(core, func(co *steward.Core, now time.Time) { co.Reported(as.ID, re, sentAt, now) })
 }
 
-// unanswered tells the steward's core that a question was not answered. What this machine
-// was too late for says nothing of the endpoint: late tells that the question's own
-// timer was, and the control loop may have been.
-func (ct *control) unanswered(core *steward.Core, as steward.Ask, asked time.Time, late bool, why string) {
-	ct.forCore(core, func(co *steward.Core, now time.Time) {
-		if late || ct.lateSince(asked) {
-			co.Inconclusive(as.ID, asked, now)
+// pollFailed reports a failed poll to the steward's core. If this machine ran late, the
+// poll is inconclusive, since the endpoint may have answered in time. late is set if the
+// poll's own timer fired late; the control loop is checked as well.
+func (ct *control) pollFailed(core *steward.Core, as steward.Ask, sentAt time.Time, late bool, why string) {
+	ct.withCore(core, func(co *steward.Core, now time.Time) {
+		if late || ct.lateSince(sentAt) {
+			co.Inconclusive(as.ID, sentAt, now)
 			return
 		}
-		co.Failed(as.ID, why, asked, now)
+		co.Failed(as.ID, why, sentAt, now)
 	})
 }
 
-// report asks an endpoint for its state.
+// report requests an endpoint's report. fresh requires a new connection.
 func (da *Daemon) report(ctx context.Context, id, address string, limit time.Duration, fresh bool) (catalog.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -222,7 +224,8 @@
 
 var errStatus = errors.New("unexpected status")
 
-// call makes a call to an endpoint that is not a caller's request.
+// call sends a control request (not a caller's request) to an endpoint and returns the
+// status and body of the response. For GET, any status other than 200 is an error.
 func (da *Daemon) call(ctx context.Context, address string, rq *http1.Request) (int, []byte, error) {
 	sent := da.Clock.Now()
 	ex, err := da.pool.Send(ctx, address, rq)
@@ -231,30 +234,33 @@
 	}
 	defer ex.Close()
 	da.front.HeardInCall(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
-	body, err := ex.ReadAll(maxReport)
+	body, err := ex.ReadAll(maxReportBytes)
 	if err != nil {
 		return 0, nil, err
 	}
 	if rq.Method == http.MethodGet && ex.Response.StatusCode != http.StatusOK {
-		return ex.Response.StatusCode, nil, eris.Wrapf(errStatus, "status %d", ex.Response.StatusCode)
+		return ex.Response.StatusCode, nil, eris.Wrapf(errStatus, "got status %d, want 200", ex.Response.StatusCode)
 	}
 	return ex.Response.StatusCode, body, nil
 }
 
+// command sends an order and passes its outcome to the steward's core.
 func (ct *control) command(ctx context.Context, core *steward.Core, term int64, cd steward.Command) {
 	out, status, err := ct.da.order(ctx, term, cd)
-	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.Summary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", cause(err))
-	ct.forCore(core, func(co *steward.Core, now time.Time) { co.Done(cd, out, now) })
+	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.Summary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", errText(err))
+	ct.withCore(core, func(co *steward.Core, now time.Time) { co.Done(cd, out, now) })
 }
 
-func cause(err error) string {
+// errText returns the text of err, or "" if err is nil.
+func errText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// order sends an order and tells what came of it.
+// order sends an order to an endpoint and returns its outcome and the response status. The
+// status is 0 if there was no response.
 func (da *Daemon) order(ctx context.Context, term int64, cd steward.Command) (steward.Outcome, int, error) {
 	fence := int64(0)
 	if da.Settings.Bounds.Fencing {
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -10,48 +10,49 @@
 	"corianderhub.dev/corianderhub/internal/mesh"
 )
 
-// beatExtra is what a beat tells besides what all of them do.
-type beatExtra struct {
-	suspects []mesh.Suspect
-	// advancing are groups that were suspected and whose streams go on.
-	advancing []mesh.Suspect
-	change    *catalog.Change
-	to        mesh.Audience
+// heartbeatExtra holds the optional parts of a heartbeat.
+type heartbeatExtra struct {
+	stallReports []mesh.Suspect
+	// progressReports are groups that were reported as stalled and whose streams advance
+	// again.
+	progressReports []mesh.Suspect
+	change          *catalog.Change
+	to              mesh.Audience
 }
 
-// sendBeat tells the others what this daemon is and knows.
-func (ct *control) sendBeat(ex beatExtra) {
+// sendHeartbeat sends this daemon's state to the other daemons.
+func (ct *control) sendHeartbeat(ex heartbeatExtra) {
 	now := ct.da.Clock.Now()
-	ct.number++
+	ct.heartbeatNumber++
 	set := ct.da.Settings
-	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
-		Gone: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), Suspects: ex.suspects, Advancing: ex.advancing, Change: ex.change,
+	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.heartbeatNumber, Name: set.Name, DataCenter: set.DataCenter,
+		Callers: set.Callers, Taking: ct.da.accepting(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
+		Gone: ct.departed.recent(now, ct.stewardConfirmedAt(), ct.follows()), Suspects: ex.stallReports, Advancing: ex.progressReports, Change: ex.change,
 		Power: int(set.CPUShare * 1000), Follows: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
 		be.Config = co.Revision
 	}
 	be.Leaving = ct.da.stopping.Load()
-	be.Uptime = now.Sub(ct.begun)
-	ct.promise(&be)
-	ct.tellQuarantine(&be, now)
-	relay := ct.lease.settled() && !ct.da.mesh.Direct()
-	be.Backpressure = ct.da.backpressure.Tell(now, ct.tellFor(), relay)
-	ct.lease.sent(ct.number)
+	be.Uptime = now.Sub(ct.startedAt)
+	ct.addPromise(&be)
+	ct.addQuarantine(&be, now)
+	relay := ct.lease.ready() && !ct.da.mesh.Direct()
+	be.Backpressure = ct.da.backpressure.Tell(now, ct.announceFor(), relay)
+	ct.lease.recordHeartbeat(ct.heartbeatNumber)
 	work := mesh.Work{Own: ct.da.table.Own(now)}
-	if ct.lease.settled() {
+	if ct.lease.ready() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
 		be.Silent = ct.da.mesh.Silent()
-		be.Sound = ct.sound.lately(now)
+		be.Sound = ct.healthy.recent(now)
 		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkBut(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
-		ct.da.Log.Error("control: beat not sent.", "cause", err.Error())
+		ct.da.Log.Error("control: heartbeat not sent.", "cause", err.Error())
 	}
 }
 
-// beat takes in what another daemon told.
-func (ct *control) beat(be mesh.Beat) {
+// handleHeartbeat applies a heartbeat received from another daemon.
+func (ct *control) handleHeartbeat(be mesh.Beat) {
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
@@ -61,8 +62,8 @@
 	case mesh.WorkNone:
 	}
 	ct.served = ct.served || be.Served
-	ct.lease.promised(be)
-	ct.hearGone(be.Gone, now)
+	ct.lease.recordPromise(be)
+	ct.applyDepartures(be.Gone, now)
 	if ct.lease.core != nil {
 		for _, su := range be.Suspects {
 			ct.lease.core.Suspect(su.Group, su.Epoch, false, now)
@@ -71,13 +72,14 @@
 			ct.lease.core.Advances(su.Group, su.Epoch, now)
 		}
 	}
-	ct.hearConfig(be)
-	ct.hearDeputy(be, now)
-	ct.hearQuarantine(be, now)
-	ct.hearBackpressure(be.Backpressure, now)
-	if ct.told == nil && be.Follows && be.Taking && !ct.follows() {
-		// No steward yet, as after a loss of all daemons: the groups that serve
-		// can be used by what a daemon that reads the store made of the entries.
+	ct.fetchNewerConfig(be)
+	ct.recordDeputy(be, now)
+	ct.applyQuarantine(be, now)
+	ct.applyBackpressure(be.Backpressure, now)
+	if ct.stewardView == nil && be.Follows && be.Taking && !ct.follows() {
+		// There is no steward yet, as after a loss of all daemons. Until there is one,
+		// use the view that a daemon reading the store has built from the entries, so
+		// that the existing groups serve.
 		ct.fetchView(be)
 	}
 	if !be.Steward || be.Term < ct.steward.Term || ct.lease.core != nil && be.Term <= ct.lease.term {
@@ -85,58 +87,59 @@
 	}
 	if be.Term > ct.steward.Term {
 		ct.da.Log.Info("control: steward heard.", "steward", be.Name, "term", be.Term)
-		ct.retell(now)
-		ct.learnBackpressure(be)
+		ct.reannounce(now)
+		ct.syncBackpressure(be)
 	}
-	ct.steward, ct.heard = be, now
+	ct.steward, ct.lastStewardHeartbeat = be, now
 	ct.da.mesh.SetSteward(be.IP)
 	for _, su := range be.Sound {
 		ct.da.table.Sound(su.Group)
 	}
-	ct.confirm(now.Add(-be.Age - hearDelay))
-	if ct.told == nil || be.Term > ct.told.Term || be.Term == ct.told.Term && be.View > ct.told.Sequence {
-		ct.learnView(be)
+	ct.confirm(now.Add(-be.Age - heartbeatLatency))
+	if ct.stewardView == nil || be.Term > ct.stewardView.Term || be.Term == ct.stewardView.Term && be.View > ct.stewardView.Sequence {
+		ct.applyViewUpdate(be)
 	}
 }
 
-// hearBackpressure takes in what another daemon told of what endpoints said.
-func (ct *control) hearBackpressure(words []backpressure.Word, now time.Time) {
-	for _, li := range ct.da.backpressure.Hear(words, now) {
-		ct.saidLeaving(li)
+// applyBackpressure applies backpressure notices received from another daemon.
+func (ct *control) applyBackpressure(notices []backpressure.Word, now time.Time) {
+	for _, li := range ct.da.backpressure.Hear(notices, now) {
+		ct.endpointLeaving(li)
 	}
 }
 
-// learnBackpressure evens out with a steward that was not heard before what either knows of
-// what endpoints said: one of both may have just started.
-func (ct *control) learnBackpressure(be mesh.Beat) {
+// syncBackpressure exchanges all backpressure notices with a new steward. Either side may
+// have just started and lack notices that the other has.
+func (ct *control) syncBackpressure(be mesh.Beat) {
 	ct.da.backpressure.Retell()
 	ct.fetch("backpressure", func(ctx context.Context) func() {
-		words, err := ct.da.peers.Backpressure(ctx, be.IP)
+		notices, err := ct.da.peers.Backpressure(ctx, be.IP)
 		if err != nil {
-			ct.da.Log.Info("control: backpressure not fetched.", "from", be.Name, "cause", err.Error())
+			ct.da.Log.Info("control: fetching backpressure notices failed.", "from", be.Name, "cause", err.Error())
 			return nil
 		}
-		return func() { ct.hearBackpressure(words, ct.da.Clock.Now()) }
+		return func() { ct.applyBackpressure(notices, ct.da.Clock.Now()) }
 	})
 }
 
-// learnView takes in the steward's new view: by what changed, if that came with
-// the beat and fits, and else by fetching all of it.
-func (ct *control) learnView(be mesh.Beat) {
+// applyViewUpdate brings the view up to the steward's new one. It applies the change sent
+// with the heartbeat if that matches the current view, and fetches the whole view
+// otherwise.
+func (ct *control) applyViewUpdate(be mesh.Beat) {
 	if be.Change != nil {
-		if next := ct.told.Apply(be.Change); next != nil {
-			ct.hearView(next)
+		if next := ct.stewardView.Apply(be.Change); next != nil {
+			ct.applyView(next)
 			return
 		}
 	}
 	ct.fetchView(be)
 }
 
-// hearDelay is added to the age that another daemon tells, for the way.
-const hearDelay = 10 * time.Millisecond
+// heartbeatLatency is added to the age in a heartbeat to allow for its transit time.
+const heartbeatLatency = 10 * time.Millisecond
 
-// hearConfig fetches a configuration that another daemon has and this one not.
-func (ct *control) hearConfig(be mesh.Beat) {
+// fetchNewerConfig fetches the sender's configuration if it is newer than this daemon's.
+func (ct *control) fetchNewerConfig(be mesh.Beat) {
 	co := ct.da.config.Load()
 	if be.Config == 0 || co != nil && co.Revision >= be.Config {
 		return
@@ -144,31 +147,33 @@
 	ct.fetch("config", func(ctx context.Context) func() {
 		raw, rev, err := ct.da.peers.Config(ctx, be.IP)
 		if err != nil {
-			ct.da.Log.Info("control: configuration not fetched.", "from", be.Name, "cause", err.Error())
+			ct.da.Log.Info("control: fetching the configuration failed.", "from", be.Name, "cause", err.Error())
 			return nil
 		}
 		return func() { ct.setConfig(raw, rev, "daemon "+be.Name) }
 	})
 }
 
+// fetchView fetches the whole view of the heartbeat's sender.
 func (ct *control) fetchView(be mesh.Beat) {
 	ct.fetch("view", func(ctx context.Context) func() {
 		vi, err := ct.da.peers.View(ctx, be.IP)
 		if err != nil {
-			ct.da.Log.Info("control: view not fetched.", "from", be.Name, "cause", err.Error())
+			ct.da.Log.Info("control: fetching the view failed.", "from", be.Name, "cause", err.Error())
 			return nil
 		}
-		return func() { ct.hearView(vi) }
+		return func() { ct.applyView(vi) }
 	})
 }
 
-// fetch runs one call of a kind at a time, and its outcome in the loop.
+// fetch runs call in a goroutine unless one of the same kind is already in flight. The
+// function that call returns, if any, runs in the control loop.
 func (ct *control) fetch(kind string, call func(context.Context) func()) {
 	if ct.fetching[kind] {
 		return
 	}
 	ct.fetching[kind] = true
-	ct.da.once(&ct.wg, func(ctx context.Context) {
+	ct.da.spawn(&ct.wg, func(ctx context.Context) {
 		done := call(ctx)
 		ct.post(func() {
 			ct.fetching[kind] = false
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -12,108 +12,113 @@
 )
 
 const (
-	// tick is the interval of the control loop, which bounds the notice of a
-	// group that stands still.
+	// tick is the interval of the control loop. It bounds the time to detect a stalled
+	// group.
 	tick = 40 * time.Millisecond
-	// beatCheck is the time between looks whether beats are due.
-	beatCheck = 15 * time.Millisecond
-	// staleAfter is the age of the store's last word from which a daemon asks
-	// the store itself. With the steward's own look every 800 ms, a change is
-	// known within the 2 s that the deployments allow.
+	// heartbeatCheckInterval is the time between checks whether heartbeats are due.
+	heartbeatCheckInterval = 15 * time.Millisecond
+	// staleAfter is the age of the last confirmation by the store after which a daemon
+	// reads the store itself. The steward reads the store every 800 ms, so a change is
+	// applied within the 2 s that the deployments allow.
 	staleAfter = 1200 * time.Millisecond
-	// freshAfter is the age below which it leaves that to the steward again.
+	// freshAfter is the age below which the daemon stops following the store and relies on
+	// the steward again.
 	freshAfter = 700 * time.Millisecond
-	// returnGrace is how long entries that were lost while the store was away
-	// may take to be back: endpoints write theirs anew within 2 s.
+	// returnGrace is how long entries that lapsed during an outage of the store may take
+	// to reappear. Endpoints rewrite their entries within 2 s.
 	returnGrace = 2300 * time.Millisecond
-	// queueSize bounds the events that wait for the control loop.
+	// queueSize bounds the events queued for the control loop.
 	queueSize = 4096
-	// poolSweep is the interval at which idle connections are looked through.
-	poolSweep = time.Second
+	// sweepInterval is the interval of periodic maintenance, such as closing idle
+	// connections.
+	sweepInterval = time.Second
 )
 
-// control is the daemon's control state. All of it belongs to the loop's
-// goroutine but for what is said to be shared.
+// control is the daemon's control state. It belongs to the control loop's goroutine, except
+// for fields marked as shared.
 type control struct {
 	da     *Daemon
 	events chan func()
-	// endpoints is what the store has registered; missing ones were lost while
-	// the store was away.
+	// endpoints are the endpoints registered at the store, by ID. missing are those whose
+	// entries were lost during an outage of the store, with the time when that was
+	// detected.
 	endpoints map[string]catalog.Endpoint
 	missing   map[string]time.Time
-	// setAside are the keys of entries that name no server and were logged.
+	// setAside are the keys of invalid entries that have been logged.
 	setAside map[string]bool
 	revision int64
-	// firstRead is set while all endpoints are taken in that are registered when this
-	// daemon first reads them.
+	// firstRead is set while this daemon processes its first full read of the endpoints.
 	firstRead bool
-	gone      goneEndpoints
-	// told is the newest view of a steward.
-	told *catalog.View
-	// confirmed is when the store last confirmed what is known; shared under mu.
+	departed  departedEndpoints
+	// stewardView is the newest view received from or published by a steward.
+	stewardView *catalog.View
+	// confirmed is when the store last confirmed this daemon's state; shared, guarded by
+	// mu.
 	mu        sync.Mutex
 	confirmed time.Time
-	// following is set while this daemon follows the store itself; shared.
+	// following is set while this daemon follows the store itself; shared, guarded by mu.
 	following bool
-	// newGone is set when an endpoint was just seen to leave.
-	newGone bool
-	// deputyAt is when the store last confirmed what a deputy knows, shared under
-	// mu; deputy is set while this daemon is one, shared.
-	deputyAt time.Time
-	deputy   atomic.Bool
-	// turn counts how often following began; shared. A follower whose turn is over
-	// reads all anew.
-	turn int
-	// joined is set once the daemon has learnt who else is there.
+	// newDeparture is set if an endpoint has departed since the last round of the control
+	// loop.
+	newDeparture bool
+	// deputyConfirmed is when the store last confirmed a deputy's state; shared, guarded
+	// by mu. deputy is set while this daemon is a deputy; shared.
+	deputyConfirmed time.Time
+	deputy          atomic.Bool
+	// generation counts how often following has begun; shared, guarded by mu. A follower
+	// from an earlier generation reads everything again.
+	generation int
+	// joined is set once the daemon knows the other daemons.
 	joined bool
-	// haveAll is set once all endpoints were read since following began.
-	haveAll   bool
-	fetching  map[string]bool
-	number    uint64
-	beatCheck time.Time
-	sweepDue  time.Time
-	totalsDue time.Time
-	served    bool
-	lease     stewardship
-	// wake ends the wait of the control loop when a step is due that was put off.
+	// haveAll is set once all endpoints have been read since following began.
+	haveAll            bool
+	fetching           map[string]bool
+	heartbeatNumber    uint64
+	lastHeartbeatCheck time.Time
+	nextSweep          time.Time
+	nextTotals         time.Time
+	served             bool
+	lease              stewardship
+	// wake wakes the control loop when a postponed step is due.
 	wake *time.Timer
-	// begun is when the control loop began to run.
-	begun time.Time
-	// lateAt is when the control loop was last found to run late; shared under mu.
+	// startedAt is when the control loop started.
+	startedAt time.Time
+	// lateAt is when the control loop was last found to run late; shared, guarded by mu.
 	lateAt time.Time
-	// looped is when the loop last began a round.
-	looped time.Time
-	// sound are groups to tell the others of as the steward.
-	sound soundGroups
-	// rank is how many daemons look at the lease before this one, and promisedUntil is
-	// until when it has promised not to.
+	// lastRound is when the last round of the control loop began.
+	lastRound time.Time
+	// healthy are the groups that this daemon, as the steward, announces as healthy.
+	healthy healthyGroups
+	// rank is the number of daemons that try to acquire the lease before this one.
+	// promisedUntil is the time before which this daemon has promised not to try.
 	rank          int
 	promisedUntil time.Time
-	// storeAway is set while the store does not answer for the endpoints; shared.
-	storeAway atomic.Bool
-	// probing counts the groups whose members this daemon asks by itself.
+	// storeUnavailable is set while the store does not answer reads of the endpoints;
+	// shared.
+	storeUnavailable atomic.Bool
+	// probing counts the groups whose members this daemon is probing.
 	probing int
-	// campaigning is set while this daemon looks at the lease.
+	// campaigning is set while this daemon tries to acquire the lease.
 	campaigning bool
 
-	// steward is the last beat of the steward with the highest term, heard when
-	// it came.
-	steward mesh.Beat
-	heard   time.Time
-	wg      sync.WaitGroup
-	// wrongAt is when an endpoint last was not the one expected.
-	wrongAt time.Time
-	ends    endChecks
-	// quarantine is what is done about requests that end endpoints.
+	// steward is the last heartbeat from the steward with the highest term;
+	// lastStewardHeartbeat is when it arrived.
+	steward              mesh.Beat
+	lastStewardHeartbeat time.Time
+	wg                   sync.WaitGroup
+	// misroutedAt is when a misrouted request was last logged.
+	misroutedAt time.Time
+	crashChecks crashChecks
+	// quarantine is the state of the quarantine of requests that crash endpoints.
 	quarantine quarantineControl
 }
 
 func newControl(da *Daemon) *control {
 	return &control{da: da, events: make(chan func(), queueSize), endpoints: make(map[string]catalog.Endpoint),
-		wake: time.NewTimer(tick), missing: make(map[string]time.Time), setAside: make(map[string]bool), gone: make(goneEndpoints), ends: make(endChecks), sound: make(soundGroups), fetching: make(map[string]bool)}
+		wake: time.NewTimer(tick), missing: make(map[string]time.Time), setAside: make(map[string]bool), departed: make(departedEndpoints), crashChecks: make(crashChecks), healthy: make(healthyGroups), fetching: make(map[string]bool)}
 }
 
-// post hands an event to the control loop.
+// post queues an event for the control loop. It drops the event if the daemon ends first.
 func (ct *control) post(ev func()) {
 	select {
 	case ct.events <- ev:
@@ -121,13 +126,14 @@
 	}
 }
 
+// run starts the daemon's background tasks and runs the control loop until ctx ends.
 func (ct *control) run(ctx context.Context) error {
-	ct.begun = ct.da.Clock.Now()
-	ct.confirmed = ct.begun.Add(-staleAfter + startPatience)
-	ct.da.once(&ct.wg, ct.followConfig)
-	ct.da.once(&ct.wg, ct.followEndpoints)
-	ct.da.once(&ct.wg, ct.join)
-	ct.da.once(&ct.wg, ct.campaign)
+	ct.startedAt = ct.da.Clock.Now()
+	ct.confirmed = ct.startedAt.Add(-staleAfter + startupStoreDelay)
+	ct.da.spawn(&ct.wg, ct.followConfig)
+	ct.da.spawn(&ct.wg, ct.followEndpoints)
+	ct.da.spawn(&ct.wg, ct.join)
+	ct.da.spawn(&ct.wg, ct.campaign)
 	ti := time.NewTicker(tick)
 	defer ti.Stop()
 	for {
@@ -148,31 +154,31 @@
 	}
 }
 
-// lateRound is the time between two rounds of the control loop, which are to be
-// a tick apart at most, from which this machine counts as late: it was frozen,
-// or used up its share of the processor.
+// lateRound is the time between two rounds of the control loop after which this machine
+// counts as late. Rounds are normally at most one tick apart; a longer gap means that the
+// machine was frozen or out of CPU quota.
 const lateRound = 100 * time.Millisecond
 
-// noteDelay looks whether the loop runs late.
+// noteDelay records whether the control loop runs late.
 func (ct *control) noteDelay() {
 	now := ct.da.Clock.Now()
-	if !ct.looped.IsZero() && now.Sub(ct.looped) > lateRound {
+	if !ct.lastRound.IsZero() && now.Sub(ct.lastRound) > lateRound {
 		ct.mu.Lock()
 		ct.lateAt = now
 		ct.mu.Unlock()
 	}
-	ct.looped = now
+	ct.lastRound = now
 }
 
-// lateSince tells whether this machine ran late at any time since. What ran out
-// of time then may have been answered in time.
+// lateSince reports whether this machine has run late after the given time. A request that
+// timed out in that period may have been answered in time.
 func (ct *control) lateSince(since time.Time) bool {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.lateAt.After(since)
 }
 
-// drain handles the events that wait, so that the state is looked at once.
+// drain handles all queued events, so that one step covers all of them.
 func (ct *control) drain() {
 	for {
 		select {
@@ -184,11 +190,11 @@
 	}
 }
 
-// startPatience is how long a daemon that starts waits for a steward's word
-// before it asks the store itself. It has read by then who else is there.
-const startPatience = 150 * time.Millisecond
+// startupStoreDelay is how long a starting daemon waits for a steward's heartbeat before it
+// reads the store. By then it has read the list of daemons.
+const startupStoreDelay = 150 * time.Millisecond
 
-// step does what is due.
+// step runs all periodic work that is due.
 func (ct *control) step() {
 	now := ct.da.Clock.Now()
 	ct.stepFollowing(now)
@@ -196,22 +202,23 @@
 	ct.stepSteward(now)
 	ct.stepStalls(now)
 	ct.stepQuarantine(now)
-	if ct.newGone && ct.lease.core == nil && !ct.da.mesh.Direct() {
-		// The others would hear of it only with the next beats, seconds later.
-		ct.sendBeat(beatExtra{to: mesh.ToEveryone})
+	if ct.newDeparture && ct.lease.core == nil && !ct.da.mesh.Direct() {
+		// Otherwise the others would learn of the departure with the next regular
+		// heartbeats, seconds later.
+		ct.sendHeartbeat(heartbeatExtra{to: mesh.ToEveryone})
 	}
-	ct.newGone = false
-	if now.Sub(ct.beatCheck) >= beatCheck {
-		ct.beatCheck = now
+	ct.newDeparture = false
+	if now.Sub(ct.lastHeartbeatCheck) >= heartbeatCheckInterval {
+		ct.lastHeartbeatCheck = now
 		if ct.da.mesh.AnyDue() {
-			ct.sendBeat(beatExtra{})
+			ct.sendHeartbeat(heartbeatExtra{})
 		}
 	}
 	ct.logTotals(now)
-	if now.After(ct.sweepDue) {
-		ct.sweepDue = now.Add(poolSweep)
+	if now.After(ct.nextSweep) {
+		ct.nextSweep = now.Add(sweepInterval)
 		ct.da.pool.Sweep()
-		ct.ends.sweep(now)
+		ct.crashChecks.sweep(now)
 		ct.da.quarantine.Sweep(now)
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
@@ -222,8 +229,8 @@
 	}
 }
 
-// shareBudgets divides among the daemons what they have together: the retry
-// budget's slack and the endpoints' connections.
+// shareBudgets divides the shared budgets among the daemons: the slack of the retry budget
+// and the endpoints' connections.
 func (ct *control) shareBudgets() {
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
@@ -231,27 +238,29 @@
 	ct.da.table.SetDaemons(num)
 }
 
-// shareLimits tells among which daemons the endpoints' limits are divided.
+// shareLimits sets the daemons among which the endpoints' limits are divided.
 func (ct *control) shareLimits(now time.Time) {
-	var taking []string
-	if ct.da.taking() {
-		taking = append(taking, ct.da.Settings.IP)
+	var accepting []string
+	if ct.da.accepting() {
+		accepting = append(accepting, ct.da.Settings.IP)
 	}
 	for _, pe := range ct.da.mesh.Alive() {
 		if pe.Taking {
-			taking = append(taking, pe.IP)
+			accepting = append(accepting, pe.IP)
 		}
 	}
-	ct.da.backpressure.SetDaemons(ct.da.Settings.IP, taking, len(ct.da.mesh.Known()), now)
+	ct.da.backpressure.SetDaemons(ct.da.Settings.IP, accepting, len(ct.da.mesh.Known()), now)
 }
 
-// age is how long ago the store last confirmed what the daemon knows.
+// age returns the time since the store last confirmed this daemon's state.
 func (ct *control) age(now time.Time) time.Duration {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return now.Sub(ct.confirmed)
 }
 
+// confirm records that the store confirmed this daemon's state at the given time. Earlier
+// times are ignored.
 func (ct *control) confirm(at time.Time) {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
@@ -260,44 +269,45 @@
 	}
 }
 
-// tooOld tells whether keys must not be accepted any more, where the
-// deployment asks for that.
-func (ct *control) tooOld() bool {
+// keysTooOld reports whether API keys must be rejected because the store has not confirmed
+// them recently. It applies only if the deployment sets RevokeFailClosed.
+func (ct *control) keysTooOld() bool {
 	bo := ct.da.Settings.Bounds
 	return bo.RevokeFailClosed && ct.keyAge(ct.da.Clock.Now()) > bo.Revoke*9/10
 }
 
-// keyAge is how long ago the store last confirmed the keys that are accepted:
-// to this daemon, to the steward, or to a deputy.
+// keyAge returns the time since the store last confirmed the accepted keys to this daemon,
+// the steward or a deputy.
 func (ct *control) keyAge(now time.Time) time.Duration {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	return min(now.Sub(ct.confirmed), now.Sub(ct.deputyAt))
+	return min(now.Sub(ct.confirmed), now.Sub(ct.deputyConfirmed))
 }
 
-// wrongPause bounds the lines about endpoints that are not the ones expected.
-const wrongPause = time.Second
+// misroutedLogInterval is the minimum time between log lines about misrouted requests.
+const misroutedLogInterval = time.Second
 
-// wrongEndpoint notes that an endpoint was not what the view says: its address
-// has been given to another one, and the next view will tell.
-func (ct *control) wrongEndpoint() {
+// noteMisrouted logs that an endpoint rejected a request as meant for another endpoint. Its
+// address has been reassigned; the next view will reflect that.
+func (ct *control) noteMisrouted() {
 	ct.post(func() {
 		now := ct.da.Clock.Now()
-		if now.Sub(ct.wrongAt) > wrongPause {
-			ct.wrongAt = now
-			ct.da.Log.Info("control: an endpoint is not the one expected.", "age-ms", ct.age(now).Milliseconds())
+		if now.Sub(ct.misroutedAt) > misroutedLogInterval {
+			ct.misroutedAt = now
+			ct.da.Log.Info("control: request misrouted, endpoint is not the expected one.", "age-ms", ct.age(now).Milliseconds())
 		}
 	})
 }
 
-// setConfig puts a configuration in force, unless a newer one is.
+// setConfig decodes and applies a configuration unless the current one is as new. revision
+// is its revision in the store, from the source for the log.
 func (ct *control) setConfig(raw []byte, revision int64, from string) {
 	if co := ct.da.config.Load(); co != nil && co.Revision >= revision {
 		return
 	}
 	cfg, err := platform.DecodeConfig(raw, revision)
 	if err != nil {
-		ct.da.Log.Error("control: configuration can't be used; the last one stays.", "revision", revision, "cause", err.Error())
+		ct.da.Log.Error("control: configuration rejected, keeping the previous one.", "revision", revision, "cause", err.Error())
 		return
 	}
 	ct.da.config.Store(&configuration{cfg, raw})
@@ -307,53 +317,54 @@
 	}
 	ct.updateView()
 	if from == fromStore || ct.da.mesh.Direct() {
-		ct.sendBeat(beatExtra{to: mesh.ToEveryone})
+		ct.sendHeartbeat(heartbeatExtra{to: mesh.ToEveryone})
 	}
 }
 
-// fromStore is where a configuration comes from that was read there. It is news
-// to the other daemons, where one that was told by a daemon is not.
+// fromStore is the source of a configuration read from the store. Only such a configuration
+// is announced to the other daemons, since one fetched from a daemon is already known to
+// others.
 const fromStore = "store"
 
-// hearView takes in a steward's view.
-func (ct *control) hearView(vi *catalog.View) {
-	if vi == nil || ct.told != nil && !vi.Newer(ct.told) {
+// applyView makes vi the steward view if it is newer than the current one.
+func (ct *control) applyView(vi *catalog.View) {
+	if vi == nil || ct.stewardView != nil && !vi.Newer(ct.stewardView) {
 		return
 	}
-	ct.told = vi
+	ct.stewardView = vi
 	ct.updateView()
 }
 
-// updateView makes traffic go by what is known now: by the steward's view, or
-// by the store's entries while no steward tells what they say.
+// updateView rebuilds the view used for traffic. It uses the steward's view, or a view
+// built from the store's entries while this daemon follows the store and is not the
+// steward.
 func (ct *control) updateView() {
 	cfg := ct.da.currentConfig()
 	if cfg == nil {
 		return
 	}
-	vi := ct.told
-	// What was read in an earlier turn of following may be old by minutes: until the
-	// store was read again, the steward's last view is the better one. In an outage of the
-	// store daemons left out all groups formed since, and refused half of their requests.
-	if ct.lease.core == nil && ct.follows() && (ct.haveAll || ct.told == nil) && ct.revision > 0 {
-		vi = catalog.ViewFromEntries(ct.endpoints, cfg, ct.told, ct.revision)
+	vi := ct.stewardView
+	// Entries read in an earlier generation may be minutes old, so the steward's last view
+	// is used until the store has been read again. Otherwise, in an outage of the store,
+	// all groups formed since would be missing and half of the requests refused.
+	if ct.lease.core == nil && ct.follows() && (ct.haveAll || ct.stewardView == nil) && ct.revision > 0 {
+		vi = catalog.ViewFromEntries(ct.endpoints, cfg, ct.stewardView, ct.revision)
 	}
 	if vi == nil {
 		return
 	}
-	vi = ct.gone.filter(vi)
+	vi = ct.departed.filter(vi)
 	first := ct.da.view.Swap(vi) == nil
 	ct.da.table.Update(vi, cfg, ct.da.Clock.Now())
 	ct.da.plain.Update(vi)
 	if first && ct.follows() {
-		// Others that know nothing yet can use what this daemon has read.
-		ct.sendBeat(beatExtra{to: mesh.ToEveryone})
+		// Daemons that have just started can use what this daemon has read.
+		ct.sendHeartbeat(heartbeatExtra{to: mesh.ToEveryone})
 	}
 }
 
-// leave tells the others that this daemon takes no more requests, and gives
-// the lease back.
+// leave announces that this daemon accepts no more requests, and releases the lease.
 func (ct *control) leave() {
-	ct.sendBeat(beatExtra{to: mesh.ToEveryone})
+	ct.sendHeartbeat(heartbeatExtra{to: mesh.ToEveryone})
 	ct.resignNow()
 }
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -16,9 +16,9 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// newLoneControl returns the control state of one of 40 daemons in two data
-// centres. It holds configuration 5, and nothing of it runs by itself.
-func newLoneControl(power int) (*control, *clock.Manual) {
+// newTestControl returns the control state of one of 40 daemons in two data centres, with
+// configuration 5. Its control loop does not run.
+func newTestControl(power int) (*control, *clock.Manual) {
 	cl := clock.NewManual(time.Unix(1000, 0))
 	log := slog.New(slog.DiscardHandler)
 	da := &Daemon{Clock: cl, Log: log, work: context.Background(),
@@ -28,46 +28,47 @@
 	da.config.Store(&configuration{Config: &catalog.Config{Revision: 5}})
 	ct := newControl(da)
 	da.control = ct
-	ct.begun, ct.confirmed = cl.Now(), cl.Now()
+	ct.startedAt, ct.confirmed = cl.Now(), cl.Now()
 	return ct, cl
 }
 
-// hearAll makes a beat of each other daemon come in.
-func (ct *control) hearAll(number uint64, be mesh.Beat) {
+// receiveFromAll delivers a heartbeat from each of the other 39 daemons.
+func (ct *control) receiveFromAll(number uint64, be mesh.Beat) {
 	for i := range 39 {
 		be.IP, be.DataCenter, be.Number, be.Power = fmt.Sprint("10.0.0.", i+1), fmt.Sprint("dc-", i%2), number, 192
 		ct.da.mesh.Accept(be)
 	}
 }
 
-// A machine is frozen, or out of processor time, while it asks the members of a
-// group. What ran out of time meanwhile is no proof; what did later is.
+// Guards against a false loss of a group member when the machine is frozen or out of CPU
+// quota while it probes the member: a timeout in that period proves nothing, a later one
+// does.
 func TestLateSince(t *testing.T) {
-	ct, cl := newLoneControl(192)
+	ct, cl := newTestControl(192)
 	ct.noteDelay()
-	asked := cl.Now()
+	sentAt := cl.Now()
 	cl.Advance(tick)
 	ct.noteDelay()
-	if ct.lateSince(asked) {
-		t.Error("late after a tick in time")
+	if ct.lateSince(sentAt) {
+		t.Error("late after a tick on time")
 	}
 	cl.Advance(lateRound + tick)
 	ct.noteDelay()
-	if !ct.lateSince(asked) {
-		t.Error("not late after a tick that came late")
+	if !ct.lateSince(sentAt) {
+		t.Error("not late after a delayed tick")
 	}
-	asked = cl.Now()
+	sentAt = cl.Now()
 	cl.Advance(tick)
 	ct.noteDelay()
-	if ct.lateSince(asked) {
-		t.Error("late still for what was asked after the delay")
+	if ct.lateSince(sentAt) {
+		t.Error("late for a request sent after the delay")
 	}
 }
 
-// All daemons lose power and start again. No caller has been served since, but the
-// weight store's limit holds: only at the very first start are loads free. A steward
-// that took each start for the first one would begin more loads than are allowed.
-func TestLoadsAreFreeAtFirstStartOnly(t *testing.T) {
+// Guards against a steward that exceeds the weight store's limit after all daemons lose
+// power. No daemon has served a caller since the restart, but loads are exempt from the
+// limit only at the very first start.
+func TestUnlimitedLoadsOnFirstStartOnly(t *testing.T) {
 	tests := []struct {
 		name              string
 		bootstrap, served bool
@@ -78,11 +79,11 @@
 		{"start after a loss of all", false, false, false},
 	}
 	for _, tc := range tests {
-		ct, _ := newLoneControl(800)
+		ct, _ := newTestControl(800)
 		ct.da.front = &front.Server{}
 		ct.da.Settings.Bootstrap, ct.served = tc.bootstrap, tc.served
-		if got := ct.initial(); got != tc.want {
-			t.Errorf("%s: loads are free: %v, want %v", tc.name, got, tc.want)
+		if got := ct.isInitialStart(); got != tc.want {
+			t.Errorf("%s: loads exempt from the limit: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -1,6 +1,7 @@
-// Package entry wires the daemon of an entry VM: the control state with what
-// it hears from the store, the other daemons and the endpoints, and the
-// listeners for callers.
+// Package entry implements the daemon of an entry VM. The daemon accepts callers' requests
+// and forwards them to endpoints. Its control state follows the store, the other daemons
+// and the endpoints; one of the daemons holds a lease at the store and acts as the steward,
+// which forms groups of VMs.
 package entry
 
 import (
@@ -30,43 +31,42 @@
 )
 
 const (
-	// dialTimeout bounds a connection to an endpoint. A round trip takes some
-	// 3 ms; a lost opening packet would be sent again only after a second. It
-	// leaves room for a machine that stands still for a tenth of a second when its
-	// share of the processor is used up.
+	// dialTimeout bounds connecting to an endpoint. A round trip takes about 3 ms; a lost
+	// SYN would be retransmitted only after a second. The timeout allows for a pause of
+	// 100 ms when this machine exhausts its CPU quota.
 	dialTimeout = 150 * time.Millisecond
-	// storeTimeout bounds a call to the store, which answers in 4 ms and,
-	// when it is slow, in some 350 ms.
+	// storeTimeout bounds a call to the store. The store answers in 4 ms, or in about 350
+	// ms when it is slow.
 	storeTimeout = 700 * time.Millisecond
-	// headerTimeout bounds the reading of a request's head, keepIdle how long
-	// callers' connections may be idle: longer than operators' limits are.
-	headerTimeout = 10 * time.Second
-	keepIdle      = 3 * time.Minute
-	// maxHeader bounds a request's head.
-	maxHeader = 256 << 10
-	// entryTTL is how long callers may keep a list of addresses. Some keep it
+	// headerTimeout bounds reading a request's header. callerIdleTimeout is how long
+	// callers' connections may be idle; it exceeds the limits that operators set.
+	headerTimeout     = 10 * time.Second
+	callerIdleTimeout = 3 * time.Minute
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 256 << 10
+	// addressTTLSeconds is how long callers may cache a list of addresses. Some cache it
 	// three times as long.
-	entryTTL = 1.0
-	// acceptFor is how long a daemon that stops goes on taking requests, while
-	// callers may still have its address.
+	addressTTLSeconds = 1.0
+	// acceptFor is how long a stopping daemon keeps accepting requests from callers that
+	// still have its address.
 	acceptFor = 2500 * time.Millisecond
-	// stopMargin is taken off the grace time, so that what is left to do ends
+	// stopMargin is subtracted from the grace period, so that the remaining work ends
 	// before the process is killed.
 	stopMargin = 800 * time.Millisecond
-	// budgetShare is the part of the retry budget's slack that all daemons
-	// use together; the rest covers daemons that start anew and forget.
+	// budgetShare is the share of the retry budget's slack that is divided among all
+	// daemons. The rest covers daemons that restart and lose their counts.
 	budgetShare = 0.5
-	// minBudgetDaemons is the least number of daemons that the slack is divided
-	// by, before the others are known.
+	// minBudgetDaemons is the minimum number of daemons by which the slack is divided, for
+	// the time before the others are known.
 	minBudgetDaemons = 3
 )
 
-// Daemon is the daemon of an entry VM. Set the exported fields before Run.
+// Daemon is the daemon of an entry VM. Set the exported fields before calling Run.
 type Daemon struct {
 	Settings platform.Settings
 	Clock    clock.Clock
 	Log      *slog.Logger
-	// MetricsPort is where metrics are served; 0 turns them off.
+	// MetricsPort is the port for metrics; 0 disables them.
 	MetricsPort int
 
 	started int64
@@ -78,32 +78,33 @@
 	front   *front.Server
 	table   *dispatch.Table
 	plain   *dispatch.Plain
-	// quarantine knows the requests that end endpoints.
+	// quarantine records the requests that crash endpoints.
 	quarantine *quarantine.Ledger
-	// backpressure is what endpoints say of how much they take.
+	// backpressure holds the limits and back-off times that endpoints have announced.
 	backpressure *backpressure.Register
-	// config and view are what traffic goes by.
+	// config and view are the configuration and view used for traffic.
 	config atomic.Pointer[configuration]
 	view   atomic.Pointer[catalog.View]
-	// stats are the steward's, nil while this daemon is not the steward.
+	// stats are the steward's statistics, nil while this daemon is not the steward.
 	stats    atomic.Pointer[steward.Stats]
 	gauges   *metrics.Set
 	stopping atomic.Bool
 	group    run.Group
-	// base ends the daemon at once and without farewell, as a kill does; tests
-	// set it. work is the context of all that goes on until then.
+	// base ends the daemon immediately, without a graceful stop, as a kill does; tests set
+	// it. work is the context of all goroutines of the daemon.
 	base   context.Context
 	work   context.Context
 	cancel context.CancelFunc
 }
 
-// configuration is the one in force, with the text that it was decoded from.
+// configuration is a decoded configuration with the text it was decoded from.
 type configuration struct {
 	*catalog.Config
 	raw []byte
 }
 
-// Run serves until ctx ends, and then stops gracefully.
+// Run starts the daemon and serves until ctx ends. It then stops gracefully within the
+// grace period.
 func (da *Daemon) Run(ctx context.Context) error {
 	if da.base == nil {
 		da.base = context.WithoutCancel(ctx)
@@ -118,24 +119,25 @@
 	if err != nil {
 		return err
 	}
-	if err := da.serveOthers(); err != nil {
+	if err := da.serveInternal(); err != nil {
 		return err
 	}
 	da.add(da.mesh.Run)
 	da.add(da.control.run)
-	da.add(func(part context.Context) error { return da.stopWhenTold(ctx, part, callers) })
+	da.add(func(part context.Context) error { return da.gracefulStop(ctx, part, callers) })
 	da.Log.Info("daemon: started.", "name", da.Settings.Name, "callers", da.Settings.Callers, "data-center", da.Settings.DataCenter)
 	err = da.group.Run()
 	da.Log.Info("daemon: stopped.", "name", da.Settings.Name)
 	return err
 }
 
-// add makes a function part of the run group: all parts stop together.
+// add adds fn to the run group. All functions of the group stop together.
 func (da *Daemon) add(fn func(context.Context) error) {
 	part, cancel := context.WithCancel(da.work)
 	da.group.Add(func() error { return fn(part) }, func(error) { cancel() })
 }
 
+// build creates the parts of the daemon and opens the UDP socket for heartbeats.
 func (da *Daemon) build() error {
 	set := da.Settings
 	da.store = platform.NewStore(set.Store.Address, storeTimeout)
@@ -149,21 +151,22 @@
 		return eris.Wrap(err, "listen for daemons")
 	}
 	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InnerPorts[0],
-		OnBeat: func(be mesh.Beat) { da.control.post(func() { da.control.beat(be) }) }}
+		OnBeat: func(be mesh.Beat) { da.control.post(func() { da.control.handleHeartbeat(be) }) }}
 	da.peers = mesh.NewClient(set.InnerPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
-		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
-		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
-		OnWrong:    func() { da.control.wrongEndpoint() },
+		Config: da.currentConfig, Stale: func() bool { return da.control.keysTooOld() },
+		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.endpointLeaving(li) }) },
+		OnWrong:    func() { da.control.noteMisrouted() },
 		Quarantine: da.quarantine, Backpressure: da.backpressure,
-		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
-		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
+		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.checkCrash(bo) },
+		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.requestCompleted(fp) }) },
 		Budget: &dispatch.Budget{Began: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
 	return nil
 }
 
+// currentConfig returns the current configuration, or nil if there is none yet.
 func (da *Daemon) currentConfig() *catalog.Config {
 	if co := da.config.Load(); co != nil {
 		return co.Config
@@ -171,11 +174,11 @@
 	return nil
 }
 
-// serveOthers opens all listeners but that for callers.
-func (da *Daemon) serveOthers() error {
+// serveInternal opens all listeners except the one for callers.
+func (da *Daemon) serveInternal() error {
 	set := da.Settings
 	directory := &front.Directory{Log: da.Log, Addresses: da.addresses,
-		TTLSeconds: min(entryTTL, set.Bounds.MaxTTL.Seconds())}
+		TTLSeconds: min(addressTTLSeconds, set.Bounds.MaxTTL.Seconds())}
 	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InnerPorts[1]))
 	listeners := []struct {
 		name, addr string
@@ -183,18 +186,18 @@
 	}{
 		{"ready", set.Ready, http.HandlerFunc(da.ready)},
 		{"directory", set.Directory, directory},
-		{"daemons", inner, da.peerCalls()},
+		{"daemons", inner, da.peerHandler()},
 	}
 	if set.Peers != "" {
 		listeners = append(listeners, struct {
 			name, addr string
 			handler    http.Handler
-		}{"control", set.Peers, da.peerCalls()})
+		}{"control", set.Peers, da.peerHandler()})
 	}
 	if da.MetricsPort != 0 {
 		mux := http.NewServeMux()
 		da.gauges = da.newGauges()
-		mux.HandleFunc("GET /metrics", da.sendMetrics)
+		mux.HandleFunc("GET /metrics", da.serveMetrics)
 		listeners = append(listeners, struct {
 			name, addr string
 			handler    http.Handler
@@ -208,13 +211,13 @@
 	return nil
 }
 
-// serve opens a listener and makes its server part of the run group.
+// serve opens a listener and adds its server to the run group.
 func (da *Daemon) serve(name, addr string, handler http.Handler) (*http.Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for "+name)
 	}
-	sv := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: keepIdle, MaxHeaderBytes: maxHeader,
+	sv := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(da.Log.Handler(), slog.LevelDebug)}
 	da.add(func(part context.Context) error {
 		stop := context.AfterFunc(part, func() { sv.Close() })
@@ -228,23 +231,26 @@
 	return sv, nil
 }
 
-// ready tells the platform whether this daemon takes requests.
+// ready handles the platform's readiness check: it responds with 200 if this daemon accepts
+// requests and with 503 otherwise.
 func (da *Daemon) ready(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != platform.PathReady {
 		http.NotFound(w, req)
 		return
 	}
-	if !da.taking() {
+	if !da.accepting() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (da *Daemon) taking() bool {
+// accepting reports whether the daemon accepts new requests: it has a configuration and a
+// view and is not stopping.
+func (da *Daemon) accepting() bool {
 	return !da.stopping.Load() && da.config.Load() != nil && da.view.Load() != nil
 }
 
-// addresses returns the daemons for a caller in a data centre: those there if
-// there are two or more, and all otherwise.
+// addresses returns the daemons' addresses for a caller in dataCenter: only those in that
+// data centre if there are at least minNear, and all otherwise.
 func (da *Daemon) addresses(dataCenter string) []string {
 	var near, all []string
 	add := func(addr, at string) {
@@ -253,7 +259,7 @@
 			near = append(near, addr)
 		}
 	}
-	if da.taking() {
+	if da.accepting() {
 		add(da.Settings.Callers, da.Settings.DataCenter)
 	}
 	for _, pe := range da.mesh.Alive() {
@@ -265,19 +271,22 @@
 		all = near
 	}
 	if len(all) == 0 {
-		// A caller that gets no address can do nothing; here it gets a refusal
-		// that says when to come back.
+		// A caller without an address has nothing to connect to. This daemon's address at
+		// least gets it a refusal with a Retry-After.
 		all = []string{da.Settings.Callers}
 	}
 	return all[:min(len(all), maxAddresses)]
 }
 
 const (
+	// minNear is the minimum number of daemons in a caller's data centre for which only
+	// these are listed. maxAddresses bounds the list.
 	minNear      = 2
 	maxAddresses = 64
 )
 
-func (da *Daemon) peerCalls() http.Handler {
+// peerHandler returns the handler for calls from other daemons.
+func (da *Daemon) peerHandler() http.Handler {
 	sv := &mesh.Server{View: da.view.Load, Daemons: da.mesh.Known,
 		Quarantine:   func() []quarantine.Entry { return da.quarantine.Entries(da.Clock.Now()) },
 		Backpressure: func() []backpressure.Word { return da.backpressure.Known(da.Clock.Now()) },
@@ -290,10 +299,10 @@
 	return sv.Handler()
 }
 
-// stopWhenTold stops the daemon gracefully once ctx ends. Others hear at once
-// that it takes no more requests; it goes on with those that come all the same
-// from callers that have its address still, and ends when nothing is left.
-func (da *Daemon) stopWhenTold(ctx, part context.Context, callers *http.Server) error {
+// gracefulStop stops the daemon gracefully once ctx ends. The others are notified
+// immediately that it accepts no more requests. It still serves callers that have its
+// address, and ends when no requests are in flight or the grace period is over.
+func (da *Daemon) gracefulStop(ctx, part context.Context, callers *http.Server) error {
 	select {
 	case <-part.Done():
 		return nil
@@ -310,12 +319,12 @@
 	limit, cancel := context.WithTimeout(part, da.Settings.Bounds.Grace-stopMargin-da.Clock.Now().Sub(begin))
 	defer cancel()
 	if err := callers.Shutdown(limit); err != nil {
-		da.Log.Warn("daemon: requests were cut off.", "working", da.front.Working(), "cause", err.Error())
+		da.Log.Warn("daemon: grace period exceeded, requests aborted.", "working", da.front.Working(), "cause", err.Error())
 	}
 	return nil
 }
 
-// once runs fn in a goroutine that ends with the daemon.
-func (da *Daemon) once(wg *sync.WaitGroup, fn func(context.Context)) {
+// spawn runs fn in a goroutine tracked by wg. Its context ends with the daemon.
+func (da *Daemon) spawn(wg *sync.WaitGroup, fn func(context.Context)) {
 	wg.Go(func() { fn(da.work) })
 }
--- a/internal/entry/deputies.go
+++ b/internal/entry/deputies.go
@@ -7,75 +7,74 @@
 	"corianderhub.dev/corianderhub/internal/mesh"
 )
 
-// Without a steward every daemon would read the store and wait for its changes,
-// and each change would answer a call of each of them. Where daemons are many, the
-// deputies of each data centre do so and tell the rest.
+// Without a steward, every daemon would read and watch the store, and each change would
+// complete one watch per daemon. In large deployments only the deputies of each data centre
+// follow the store; they pass changes on to the other daemons.
 const (
-	// deputies is how many daemons of a data centre follow the store in the
-	// steward's place. The store may turn a third of the daemons away.
-	deputies = 3
-	// deputyPatience is added to the silence of the deputies before others read
-	// the store themselves.
-	deputyPatience = 700 * time.Millisecond
-	// startSettle is how long a daemon that starts does not know yet who is
-	// alive. When 68 daemons start together and all follow the store, each entry
-	// of 300 endpoints that register wakes all of them: 1,377 calls before the
-	// first request of a measured day.
-	startSettle = 2 * time.Second
+	// deputiesPerDataCenter is the number of daemons per data centre that follow the store
+	// in the steward's place. The store may reject a third of the daemons.
+	deputiesPerDataCenter = 3
+	// deputyTimeout is how long, beyond staleAfter, the deputies may be unresponsive
+	// before other daemons read the store themselves.
+	deputyTimeout = 700 * time.Millisecond
+	// startupSettleTime is how long after its start a daemon does not yet know which
+	// daemons are alive. If 68 daemons start together and all follow the store, each of
+	// 300 registering endpoints wakes all of them: 1,377 calls before the first request.
+	startupSettleTime = 2 * time.Second
 )
 
-// isDeputy tells whether this daemon is one of the first of its data centre, or
-// when it starts, one of the first that are known.
+// isDeputy reports whether this daemon is a deputy: one of the first of its data centre or,
+// just after its start, one of the first of all known daemons.
 func (ct *control) isDeputy(now time.Time) bool {
-	if now.Sub(ct.begun) < startSettle {
-		if !ct.joined && now.Sub(ct.begun) < joinPatience {
-			// Among the few seeds that it knows it would always be one of the first:
-			// 117 daemons that started again together all read the store.
+	if now.Sub(ct.startedAt) < startupSettleTime {
+		if !ct.joined && now.Sub(ct.startedAt) < joinTimeout {
+			// With only the few seeds known, every daemon would be among the first: 117
+			// daemons that restarted together all read the store.
 			return false
 		}
-		return slices.Index(slices.Sorted(slices.Values(ct.da.mesh.Known())), ct.da.Settings.IP) < deputies
+		return slices.Index(slices.Sorted(slices.Values(ct.da.mesh.Known())), ct.da.Settings.IP) < deputiesPerDataCenter
 	}
 	if ct.da.mesh.Direct() {
 		return true
 	}
 	before := 0
 	for _, pe := range ct.da.mesh.Alive() {
-		if pe.DataCenter == ct.da.Settings.DataCenter && ct.before(pe) {
+		if pe.DataCenter == ct.da.Settings.DataCenter && ct.precedes(pe) {
 			before++
 		}
 	}
-	return before < deputies
+	return before < deputiesPerDataCenter
 }
 
-// deputySilence is how long no deputy has told anything fresh, since this daemon
-// started or itself last knew what the store says at most. While a steward tells that,
-// no deputy speaks: counted from the last word of one, the silence was always long
-// enough, and all daemons of a data centre followed the store at once when the
-// steward was cut off from it.
-func (ct *control) deputySilence(now time.Time) time.Duration {
+// deputyStaleness returns how long there has been no fresh state from a deputy, counted at
+// most from this daemon's start or last confirmation. Deputies send nothing while a steward
+// does. If it were counted from the last deputy's heartbeat alone, all daemons of a data
+// centre would follow the store as soon as the steward is cut off from it.
+func (ct *control) deputyStaleness(now time.Time) time.Duration {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	return min(now.Sub(ct.deputyAt), now.Sub(ct.begun), now.Sub(ct.confirmed))
+	return min(now.Sub(ct.deputyConfirmed), now.Sub(ct.startedAt), now.Sub(ct.confirmed))
 }
 
-// deputyFresh is when the store last confirmed what a deputy of the data centre knows.
-func (ct *control) deputyFresh() time.Time {
+// deputyConfirmedAt returns when the store last confirmed the state of a deputy in this
+// data centre.
+func (ct *control) deputyConfirmedAt() time.Time {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	return ct.deputyAt
+	return ct.deputyConfirmed
 }
 
-// hearDeputy takes in how fresh a daemon of the same data centre is that follows
-// the store. Its configuration must be in force here; what it saw leave came
-// with the same beat.
-func (ct *control) hearDeputy(be mesh.Beat, now time.Time) {
+// recordDeputy records the confirmation time of a daemon in the same data centre that
+// follows the store. It counts only if this daemon has the same or a newer configuration.
+// The departures that the deputy has seen are part of the same heartbeat.
+func (ct *control) recordDeputy(be mesh.Beat, now time.Time) {
 	co := ct.da.config.Load()
 	if !be.Follows || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
 		return
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	if at := now.Add(-be.Age - hearDelay); at.After(ct.deputyAt) {
-		ct.deputyAt = at
+	if at := now.Add(-be.Age - heartbeatLatency); at.After(ct.deputyConfirmed) {
+		ct.deputyConfirmed = at
 	}
 }
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -8,9 +8,10 @@
 	"corianderhub.dev/corianderhub/internal/mesh"
 )
 
-// The steward is lost. With 40 daemons, the first three of each data centre read
-// the store at once. The others rely on them, as long as they tell what the
-// store confirms and nothing newer than these know.
+// Guards against all daemons reading the store when the steward is lost. With 40 daemons,
+// only the first three of each data centre read it at once. The others rely on these
+// deputies as long as they report the store's current state and no newer configuration than
+// the daemon has.
 func TestDeputies(t *testing.T) {
 	fresh := mesh.Beat{IP: "10.0.0.1", DataCenter: "dc-0", Follows: true, Config: 5}
 	newer, elsewhere, idle := fresh, fresh, fresh
@@ -18,10 +19,10 @@
 	tests := []struct {
 		name  string
 		power int
-		// heard is what a deputy tells after staleAfter.
-		heard *mesh.Beat
-		// atOnce and later say whether the daemon follows right then, and after
-		// deputyPatience.
+		// received is the heartbeat received from a deputy after staleAfter.
+		received *mesh.Beat
+		// atOnce and later are whether the daemon follows the store immediately, and
+		// after deputyTimeout.
 		atOnce, later bool
 	}{
 		{"a deputy", 800, nil, true, true},
@@ -33,101 +34,101 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			ct, cl := newLoneControl(tc.power)
-			cl.Advance(startSettle)
+			ct, cl := newTestControl(tc.power)
+			cl.Advance(startupSettleTime)
 			ct.confirmed = cl.Now()
-			ct.deputyAt = cl.Now()
+			ct.deputyConfirmed = cl.Now()
 			cl.Advance(staleAfter + time.Millisecond)
-			ct.hearAll(1, mesh.Beat{})
-			if tc.heard != nil {
-				ct.hearDeputy(*tc.heard, cl.Now())
+			ct.receiveFromAll(1, mesh.Beat{})
+			if tc.received != nil {
+				ct.recordDeputy(*tc.received, cl.Now())
 			}
 			ct.stepFollowing(cl.Now())
 			if got := ct.follows(); got != tc.atOnce {
-				t.Errorf("follows at once: %v, want %v", got, tc.atOnce)
+				t.Errorf("follows immediately: got %v, want %v", got, tc.atOnce)
 			}
-			cl.Advance(deputyPatience)
-			ct.hearAll(2, mesh.Beat{})
+			cl.Advance(deputyTimeout)
+			ct.receiveFromAll(2, mesh.Beat{})
 			ct.stepFollowing(cl.Now())
 			if got := ct.follows(); got != tc.later {
-				t.Errorf("follows after %v: %v, want %v", deputyPatience, got, tc.later)
+				t.Errorf("follows after %v: got %v, want %v", deputyTimeout, got, tc.later)
 			}
 		})
 	}
 }
 
-// Many daemons start together. Only the first that are known read the store at
-// once; the others learn from them, or read it when they hear nothing.
+// Guards against all daemons reading the store when many start together. Only the first of
+// the known daemons read it at once; the others wait for these and read it only if they
+// receive nothing.
 func TestStartTogether(t *testing.T) {
 	for _, tc := range []struct {
 		ip     string
 		atOnce bool
 	}{{"10.0.0.0", true}, {"10.0.0.200", false}} {
-		ct, cl := newLoneControl(800)
+		ct, cl := newTestControl(800)
 		ct.da.Settings.IP, ct.da.mesh.IP = tc.ip, tc.ip
 		ct.confirmed = cl.Now().Add(-staleAfter)
-		ct.hearAll(1, mesh.Beat{})
+		ct.receiveFromAll(1, mesh.Beat{})
 		ct.joined = true
 		cl.Advance(time.Millisecond)
 		ct.stepFollowing(cl.Now())
 		if got := ct.follows(); got != tc.atOnce {
-			t.Errorf("%s follows at once: %v, want %v", tc.ip, got, tc.atOnce)
+			t.Errorf("%s follows immediately: got %v, want %v", tc.ip, got, tc.atOnce)
 		}
-		cl.Advance(startSettle)
+		cl.Advance(startupSettleTime)
 		ct.stepFollowing(cl.Now())
 		if !ct.follows() {
-			t.Errorf("%s does not follow after %v although it has heard nothing", tc.ip, startSettle)
+			t.Errorf("%s does not follow the store %v after its start although it received nothing", tc.ip, startupSettleTime)
 		}
 	}
 }
 
-// The steward has told for a minute what the store says, so that no deputy had to.
-// Then it is cut off from the store. The other daemons of the data centre must leave
-// the store to the deputies all the same: each that follows it costs the platform a
-// call for each change.
+// Guards against all daemons of a data centre following the store when the steward is cut
+// off from it after a minute in which no deputy had to send anything. They must leave the
+// store to the deputies: each follower costs the platform a call per change.
 func TestDeputiesAfterLongQuiet(t *testing.T) {
-	ct, cl := newLoneControl(192)
+	ct, cl := newTestControl(192)
 	cl.Advance(time.Minute)
 	ct.confirmed = cl.Now()
 	cl.Advance(staleAfter + time.Millisecond)
-	ct.hearAll(1, mesh.Beat{})
+	ct.receiveFromAll(1, mesh.Beat{})
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
-		t.Error("follows the store before the deputies had time to")
+		t.Error("follows the store before deputyTimeout")
 	}
-	cl.Advance(deputyPatience)
-	ct.hearAll(2, mesh.Beat{})
+	cl.Advance(deputyTimeout)
+	ct.receiveFromAll(2, mesh.Beat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
-		t.Error("does not follow the store though the deputies are silent")
+		t.Error("does not follow the store although the deputies are unresponsive")
 	}
 }
 
-// Many daemons start again together, and each knows no more yet than the few seeds of
-// its settings. None of them may take itself for a deputy by these: each read of the
-// store's entries is several calls, and each change of them another one.
+// Guards against daemons that restart together, know only the seeds from their settings,
+// and take themselves for deputies. Each read of the store's entries is several calls, and
+// each change another one.
 func TestStartKnowingSeedsOnly(t *testing.T) {
-	ct, cl := newLoneControl(192)
-	ct.begun = cl.Now()
+	ct, cl := newTestControl(192)
+	ct.startedAt = cl.Now()
 	ct.confirmed = cl.Now().Add(-staleAfter)
-	cl.Advance(joinPatience / 2)
+	cl.Advance(joinTimeout / 2)
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
-		t.Error("follows the store before it knows who else is there")
+		t.Error("follows the store before it knows the other daemons")
 	}
-	cl.Advance(joinPatience)
+	cl.Advance(joinTimeout)
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
-		t.Error("does not follow the store although nobody was heard")
+		t.Error("does not follow the store although no heartbeat was received")
 	}
 }
 
-// No daemon can take the lease, since the store is away. All of them look at it, those
-// first that come first; the others must not ask the store for it ten times a second
-// each, and must do so in the end.
-func TestLaterRanksLookLater(t *testing.T) {
+// Guards against every daemon reading the lease ten times a second while the store is
+// unavailable and nobody can acquire it. Lower ranks try first; the others wait longer, but
+// must try in the end.
+func TestLaterRanksWaitLonger(t *testing.T) {
 	if first, last := rankWait(0), rankWait(firstRanks); first != 0 || last > 2*time.Second {
-		t.Errorf("the first wait %v, those of rank %d wait %v", first, firstRanks, last)
+		t.Errorf("rank 0 waits %v, want 0; rank %d waits %v, want at most 2s", first, firstRanks, last)
 	}
 	num := 0
 	for rank := range 195 {
@@ -136,27 +137,27 @@
 		}
 	}
 	if num > 32 {
-		t.Errorf("%d of 195 daemons look at the lease in an outage of 4 s", num)
+		t.Errorf("%d of 195 daemons read the lease in an outage of 4 s, want at most 32", num)
 	}
 	if rankWait(400) > maxRankWait {
-		t.Errorf("the last waits %v", rankWait(400))
+		t.Errorf("rank 400 waits %v, more than maxRankWait", rankWait(400))
 	}
 }
 
-// A deputy's word was late once, and all other daemons of its data centre began to follow
-// the store. When it is heard again they leave the store to it: while a steward is cut off
-// from the store, each of them would else cost the platform a call for each change.
+// Guards against daemons that keep following the store after a deputy was late once. When
+// the deputy responds again they must stop: each follower costs the platform a call per
+// change while a steward is cut off from the store.
 func TestFollowersStopForDeputies(t *testing.T) {
-	ct, cl := newLoneControl(192)
+	ct, cl := newTestControl(192)
 	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
 	cl.Advance(time.Minute)
-	ct.hearAll(1, mesh.Beat{})
+	ct.receiveFromAll(1, mesh.Beat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
-		t.Fatal("does not follow the store although nobody was heard")
+		t.Fatal("does not follow the store although no heartbeat was received")
 	}
 	ct.confirmed = cl.Now()
-	ct.hearDeputy(mesh.Beat{IP: "10.0.0.2", DataCenter: "dc-0", Follows: true, Config: 5}, cl.Now())
+	ct.recordDeputy(mesh.Beat{IP: "10.0.0.2", DataCenter: "dc-0", Follows: true, Config: 5}, cl.Now())
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store although a deputy does")
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -12,74 +12,76 @@
 )
 
 const (
-	// endPause is the time between a connection that an endpoint closed and the look
-	// whether its process has ended: the listener of one that ends is closed about then.
-	endPause = 20 * time.Millisecond
-	// sameEnd is the time within which connections that an endpoint closed belong to the
-	// same end of its process, which takes longer than that to be back.
-	sameEnd = time.Second
+	// crashCheckDelay is the time between an endpoint closing a connection and the check
+	// whether its process has ended. The listener of a process that ends is closed at
+	// about the same time as its connections.
+	crashCheckDelay = 20 * time.Millisecond
+	// sameCrashWindow is the period in which closed connections of an endpoint count as
+	// the same crash. A restart takes longer.
+	sameCrashWindow = time.Second
 )
 
-// endChecks are the looks whether endpoints have ended, by the endpoint's identifier. All
-// requests that an endpoint had break off at once, and one look serves them.
-type endChecks map[string]*endCheck
+// crashChecks are the checks whether endpoints have crashed, by endpoint ID. All requests
+// of an endpoint break off at once, and one check covers them.
+type crashChecks map[string]*crashCheck
 
-// endCheck is a look whether one endpoint has ended under the requests that it had.
-type endCheck struct {
-	begun    time.Time
-	requests []quarantine.Fingerprint
-	// waiting are closed once it is known whether it has ended; done is set from then on.
-	waiting     []chan struct{}
-	done, ended bool
+// crashCheck is a check whether an endpoint has crashed while processing requests.
+type crashCheck struct {
+	startedAt time.Time
+	requests  []quarantine.Fingerprint
+	// waiters are closed once the result is known. done is set from then on.
+	waiters       []chan struct{}
+	done, crashed bool
 }
 
-// lookAfter looks whether the endpoint that closed the connection has ended. What it
-// returns is closed once that is known.
-func (ct *control) lookAfter(bo front.BrokenOff) <-chan struct{} {
+// checkCrash checks whether the endpoint that closed a connection has crashed. The returned
+// channel is closed once the result is known.
+func (ct *control) checkCrash(bo front.BrokenOff) <-chan struct{} {
 	known := make(chan struct{})
-	ct.post(func() { ct.brokenOff(bo, known) })
+	ct.post(func() { ct.handleBrokenOff(bo, known) })
 	return known
 }
 
-// brokenOff takes in that an endpoint closed the connection while it had a request, and looks
-// whether it has ended. Endpoints also break off answers, lose them, or close connections
-// beyond a limit, and go on; of that their requests are no cause.
-func (ct *control) brokenOff(bo front.BrokenOff, known chan struct{}) {
+// handleBrokenOff starts a crash check, or joins the running one, after an endpoint closed
+// the connection of a request. Endpoints also truncate or lose answers, or close
+// connections beyond a limit, without crashing; requests are not blamed for that.
+func (ct *control) handleBrokenOff(bo front.BrokenOff, known chan struct{}) {
 	now := ct.da.Clock.Now()
-	ec := ct.ends[bo.Endpoint]
+	ec := ct.crashChecks[bo.Endpoint]
 	switch {
-	case ec == nil, ec.done && now.Sub(ec.begun) >= sameEnd:
-		ec = &endCheck{begun: now}
-		ct.ends[bo.Endpoint] = ec
-		ct.da.once(&ct.wg, func(ctx context.Context) { ct.look(ctx, bo, ec) })
+	case ec == nil, ec.done && now.Sub(ec.startedAt) >= sameCrashWindow:
+		ec = &crashCheck{startedAt: now}
+		ct.crashChecks[bo.Endpoint] = ec
+		ct.da.spawn(&ct.wg, func(ctx context.Context) { ct.runCrashCheck(ctx, bo, ec) })
 	case ec.done:
 		close(known)
-		if ec.ended {
-			ct.endedUnder(bo.Endpoint, []quarantine.Fingerprint{bo.Request})
+		if ec.crashed {
+			ct.endpointCrashed(bo.Endpoint, []quarantine.Fingerprint{bo.Request})
 		}
 		return
 	}
 	ec.requests = append(ec.requests, bo.Request)
-	ec.waiting = append(ec.waiting, known)
+	ec.waiters = append(ec.waiters, known)
 }
 
-// look finds out whether an endpoint has ended.
-func (ct *control) look(ctx context.Context, bo front.BrokenOff, ec *endCheck) {
-	if ct.da.Clock.Sleep(ctx, endPause) != nil {
+// runCrashCheck checks after a short delay whether an endpoint has crashed.
+func (ct *control) runCrashCheck(ctx context.Context, bo front.BrokenOff, ec *crashCheck) {
+	if ct.da.Clock.Sleep(ctx, crashCheckDelay) != nil {
 		return
 	}
-	ended := refusesConnections(ctx, bo.Address)
-	ct.post(func() { ct.looked(bo.Endpoint, ec, ended) })
+	crashed := refusesConnections(ctx, bo.Address)
+	ct.post(func() { ct.finishCrashCheck(bo.Endpoint, ec, crashed) })
 }
 
-// lookTries is how often a connection is tried; the packet that opens it may be lost.
-const lookTries = 2
+// crashCheckAttempts is the number of connection attempts per check, since a SYN may be
+// lost.
+const crashCheckAttempts = 2
 
-// refusesConnections tells whether nothing listens at an address of a machine that is
-// there: the process that did has ended.
+// refusesConnections reports whether connections to addr are refused: the machine is up,
+// but the process that listened there has ended.
 func refusesConnections(ctx context.Context, addr string) bool {
 	di := net.Dialer{Timeout: dialTimeout}
-	for range lookTries {
+	for range crashCheckAttempts {
 		nc, err := di.DialContext(ctx, "tcp", addr)
 		if err == nil {
 			nc.Close()
@@ -92,22 +94,22 @@
 	return false
 }
 
-// looked takes in whether an endpoint has ended.
-func (ct *control) looked(endpoint string, ec *endCheck, ended bool) {
-	ec.done, ec.ended = true, ended
-	if ended {
-		ct.endedUnder(endpoint, ec.requests)
+// finishCrashCheck records the result of a crash check and releases its waiters.
+func (ct *control) finishCrashCheck(endpoint string, ec *crashCheck, crashed bool) {
+	ec.done, ec.crashed = true, crashed
+	if crashed {
+		ct.endpointCrashed(endpoint, ec.requests)
 	}
-	for _, known := range ec.waiting {
+	for _, known := range ec.waiters {
 		close(known)
 	}
-	ec.waiting = nil
+	ec.waiters = nil
 }
 
-// sweep forgets the looks that nothing can be added to any more.
-func (ec endChecks) sweep(now time.Time) {
+// sweep removes finished checks that no further request can join.
+func (ec crashChecks) sweep(now time.Time) {
 	for id, check := range ec {
-		if check.done && now.Sub(check.begun) >= sameEnd {
+		if check.done && now.Sub(check.startedAt) >= sameCrashWindow {
 			delete(ec, id)
 		}
 	}
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -10,12 +10,12 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// snapshot takes in all endpoints that the store has registered. Those that
-// are not there any more are gone, unless the store was away: then they may be
-// back soon.
-func (ct *control) snapshot(items []platform.Item, revision int64, wasAway bool) {
+// snapshot applies a full read of the endpoints. Endpoints that are no longer registered
+// have departed. If the store was unavailable, they count as missing first, since their
+// entries may reappear soon.
+func (ct *control) snapshot(items []platform.Item, revision int64, wasUnavailable bool) {
 	now := ct.da.Clock.Now()
-	away := ct.age(now) > staleAfter
+	outage := ct.age(now) > staleAfter
 	seen := make(map[string]bool, len(items))
 	ct.firstRead = len(ct.endpoints) == 0
 	for _, it := range items {
@@ -31,7 +31,7 @@
 	for id := range maps.Clone(ct.endpoints) {
 		switch {
 		case seen[id]:
-		case away:
+		case outage:
 			if _, ok := ct.missing[id]; !ok {
 				ct.missing[id] = now
 			}
@@ -39,64 +39,64 @@
 			ct.unregister(id)
 		}
 	}
-	ct.compareView(seen, revision, wasAway)
+	ct.compareView(seen, revision, wasUnavailable)
 	ct.revision = max(ct.revision, revision)
 	ct.haveAll = true
 	ct.endpointsChanged()
 }
 
-// outageAge is the age of the store's last word from which entries may be missing
-// because the store was away. They lapse after three heartbeats, which is 3.6 s where
-// the deployments have them, and are back within 2 s. A daemon that has just started
-// does not know of an outage before.
+// outageAge is the age of the last confirmation by the store after which entries may be
+// missing because of an outage. Entries lapse after three heartbeats (3.6 s in the
+// deployments) and reappear within 2 s. A daemon that has just started cannot know of an
+// earlier outage.
 const outageAge = 2 * staleAfter
 
-// compareView looks for endpoints that the steward's view names and that were gone
-// already when this daemon began to follow the store. It has never seen their
-// entries, so it can't see them go. Daemons that rely on it as a deputy go on by the
-// view of a steward that is cut off from the store, and sent requests to an endpoint
-// 3.2 s after its entry had been removed.
-func (ct *control) compareView(seen map[string]bool, revision int64, wasAway bool) {
-	if ct.told == nil || ct.told.Revision > revision {
-		// What a newer view names may have registered since.
+// compareView finds endpoints in the steward's view whose entries were removed before this
+// daemon began to follow the store, so that it cannot see the removal itself. Without this,
+// daemons that rely on this one as a deputy use the view of a steward that is cut off from
+// the store; they sent requests to an endpoint 3.2 s after its entry had been removed.
+func (ct *control) compareView(seen map[string]bool, revision int64, wasUnavailable bool) {
+	if ct.stewardView == nil || ct.stewardView.Revision > revision {
+		// Endpoints in a newer view may have registered since.
 		return
 	}
 	now := ct.da.Clock.Now()
-	lapsed := wasAway || ct.age(now) > outageAge || now.Sub(ct.begun) < outageAge
-	for _, li := range ct.told.Instances() {
+	lapsed := wasUnavailable || ct.age(now) > outageAge || now.Sub(ct.startedAt) < outageAge
+	for _, li := range ct.stewardView.Instances() {
 		if _, known := ct.endpoints[li.ID]; known || seen[li.ID] {
 			continue
 		}
 		if !lapsed {
-			ct.newGone = ct.gone.note(li, now) || ct.newGone
+			ct.newDeparture = ct.departed.add(li, now) || ct.newDeparture
 		} else if _, ok := ct.missing[li.ID]; !ok {
 			ct.missing[li.ID] = now
 		}
 	}
 }
 
-// forgetDropped forgets endpoints without groups that were read in an earlier turn of
-// following and that the steward's newer view does not name any more. They have left since.
-// The store does not name them either, but what it lacks after a silence counts as missing
-// for a while: a daemon that began to follow took an endpoint back into use that had left
-// 2 s before, and sent it requests 4.3 s after its leave.
+// forgetDropped removes plain endpoints that were read in an earlier generation and that
+// the steward's newer view no longer contains. They have departed since. Entries absent
+// from the store after an outage count as missing for a while, so without this a daemon
+// that began to follow the store used an endpoint again that had left 2 s before, and sent
+// it requests 4.3 s after its departure.
 func (ct *control) forgetDropped() {
 	cfg := ct.da.currentConfig()
-	if ct.told == nil || ct.told.Term == 0 || cfg == nil || ct.lease.core != nil {
+	if ct.stewardView == nil || ct.stewardView.Term == 0 || cfg == nil || ct.lease.core != nil {
 		return
 	}
-	named := make(map[string]bool, len(ct.told.Plain))
-	for _, pe := range ct.told.Plain {
+	named := make(map[string]bool, len(ct.stewardView.Plain))
+	for _, pe := range ct.stewardView.Plain {
 		named[pe.ID] = true
 	}
 	for id, ep := range ct.endpoints {
-		if cfg.Services[ep.Service].Engine == nil && !named[id] && ep.Revision <= ct.told.Revision {
+		if cfg.Services[ep.Service].Engine == nil && !named[id] && ep.Revision <= ct.stewardView.Revision {
 			delete(ct.endpoints, id)
 			delete(ct.missing, id)
 		}
 	}
 }
 
+// changed applies changes of endpoint entries received from a watch.
 func (ct *control) changed(items []platform.Item) {
 	for _, it := range items {
 		ct.revision = max(ct.revision, it.Revision)
@@ -105,7 +105,7 @@
 			ep, ok = ct.decode(it)
 		}
 		if !ok {
-			// Deleted, or overwritten with what names no server.
+			// The entry was deleted or overwritten with an invalid one.
 			ct.unregister(platform.EndpointID(it.Key))
 			continue
 		}
@@ -114,11 +114,11 @@
 	ct.endpointsChanged()
 }
 
-// maxSetAside bounds the entries that are remembered as told of in the log.
+// maxSetAside bounds the number of keys remembered as logged.
 const maxSetAside = 1000
 
-// decode decodes an entry. One that names no server is logged once, until it
-// names one: its writer may repeat it with each heartbeat.
+// decode decodes an entry. An invalid entry is logged once per key until the key is valid
+// again, since its writer may repeat it with each heartbeat.
 func (ct *control) decode(it platform.Item) (catalog.Endpoint, bool) {
 	ep, err := platform.DecodeEndpoint(it)
 	if err == nil {
@@ -128,65 +128,68 @@
 	setAsideCount.Inc()
 	if !ct.setAside[it.Key] && len(ct.setAside) < maxSetAside {
 		ct.setAside[it.Key] = true
-		ct.da.Log.Warn("control: entry set aside.", "key", it.Key, "revision", it.Revision, "cause", err.Error())
+		ct.da.Log.Warn("control: invalid entry ignored.", "key", it.Key, "revision", it.Revision, "cause", err.Error())
 	}
 	return catalog.Endpoint{}, false
 }
 
 var setAsideCount = metrics.NewCounter("corianderhub_entries_set_aside_total")
 
+// register adds or updates an endpoint. An entry older than the known one is ignored.
 func (ct *control) register(ep catalog.Endpoint) {
 	had, ok := ct.endpoints[ep.ID]
 	if ok && had.Revision > ep.Revision {
 		return
 	}
-	// Its entry may say later than its answers that it leaves.
+	// The endpoint may have announced in an answer that it is leaving before its entry
+	// says so.
 	ep.Leaving = ep.Leaving || ct.da.backpressure.Leaving(ep.Instance())
 	switch {
 	case !ok && ct.firstRead:
-		// A line for each of 1,100 endpoints would delay a small machine that starts.
+		// Logging each of 1,100 endpoints would delay the start on a small machine.
 	case !ok:
 		ct.da.Log.Info("control: endpoint live.", "endpoint", ep.ID, "service", ep.Service, "domain", ep.Domain,
 			"incarnation", ep.Incarnation, "revision", ep.Revision)
 	case had.Incarnation.Differs(ep.Incarnation):
-		ct.restarted(had, ep)
+		ct.endpointRestarted(had, ep)
 	case ep.Leaving && !had.Leaving:
 		ct.da.Log.Info("control: endpoint leaves.", "endpoint", ep.ID, "service", ep.Service, "revision", ep.Revision)
 	}
 	delete(ct.missing, ep.ID)
 	ct.endpoints[ep.ID] = ep
 	if ep.Leaving {
-		ct.newGone = ct.gone.note(ep.Instance(), ct.da.Clock.Now()) || ct.newGone
+		ct.newDeparture = ct.departed.add(ep.Instance(), ct.da.Clock.Now()) || ct.newDeparture
 	} else {
-		delete(ct.gone, ep.Instance())
+		delete(ct.departed, ep.Instance())
 	}
 	if ct.lease.core != nil {
 		ct.lease.core.Register(ep, ct.da.Clock.Now())
 	}
 }
 
-// saidLeaving takes in that an endpoint has said in an answer that it stops soon.
-func (ct *control) saidLeaving(li catalog.Instance) {
+// endpointLeaving handles an endpoint's announcement in an answer that it will stop soon.
+func (ct *control) endpointLeaving(li catalog.Instance) {
 	ep, ok := ct.endpoints[li.ID]
 	if ok && !ep.Incarnation.Differs(li.Incarnation) {
 		ct.register(ep)
 	} else {
 		ct.da.Log.Info("control: endpoint leaves.", "endpoint", li.ID)
-		ct.newGone = ct.gone.note(li, ct.da.Clock.Now()) || ct.newGone
+		ct.newDeparture = ct.departed.add(li, ct.da.Clock.Now()) || ct.newDeparture
 	}
 	ct.updateView()
 }
 
-// restarted forgets the earlier life of a server that started again under its ID.
-// Its connections end with the old process, so idle ones to it are closed: what is
-// sent on them would be reset, and might have run.
-func (ct *control) restarted(had, ep catalog.Endpoint) {
-	ct.da.Log.Info("control: endpoint started again.", "endpoint", ep.ID, "service", ep.Service,
+// endpointRestarted records that the previous instance of an endpoint has departed and
+// closes idle connections to it. They end with the old process: a request sent on one would
+// be reset and might have run.
+func (ct *control) endpointRestarted(had, ep catalog.Endpoint) {
+	ct.da.Log.Info("control: endpoint restarted.", "endpoint", ep.ID, "service", ep.Service,
 		"incarnation", ep.Incarnation, "before", had.Incarnation, "revision", ep.Revision)
-	ct.newGone = ct.gone.note(had.Instance(), ct.da.Clock.Now()) || ct.newGone
+	ct.newDeparture = ct.departed.add(had.Instance(), ct.da.Clock.Now()) || ct.newDeparture
 	ct.da.pool.Drop(had.Address)
 }
 
+// unregister removes an endpoint and records its departure.
 func (ct *control) unregister(id string) {
 	ep, ok := ct.endpoints[id]
 	if !ok {
@@ -195,18 +198,18 @@
 	ct.da.Log.Info("control: endpoint gone.", "endpoint", id, "service", ep.Service)
 	delete(ct.endpoints, id)
 	delete(ct.missing, id)
-	ct.newGone = ct.gone.note(ep.Instance(), ct.da.Clock.Now()) || ct.newGone
+	ct.newDeparture = ct.departed.add(ep.Instance(), ct.da.Clock.Now()) || ct.newDeparture
 	if ct.lease.core != nil {
 		ct.lease.core.Unregister(id, ct.da.Clock.Now())
 	}
 }
 
-// stepMissing gives up endpoints that did not come back after an outage.
+// stepMissing drops endpoints whose entries did not reappear after an outage.
 func (ct *control) stepMissing(now time.Time) {
 	before := len(ct.missing)
 	for id, since := range ct.missing {
 		if now.Sub(since) > returnGrace {
-			ct.giveUp(id, now)
+			ct.dropMissing(id, now)
 		}
 	}
 	if len(ct.missing) != before {
@@ -214,23 +217,23 @@
 	}
 }
 
-// giveUp takes an endpoint whose entry did not come back as gone. It may be known by
-// the steward's view alone.
-func (ct *control) giveUp(id string, now time.Time) {
+// dropMissing treats an endpoint whose entry did not reappear as departed. The endpoint may
+// be known from the steward's view only.
+func (ct *control) dropMissing(id string, now time.Time) {
 	delete(ct.missing, id)
-	if _, ok := ct.endpoints[id]; ok || ct.told == nil {
+	if _, ok := ct.endpoints[id]; ok || ct.stewardView == nil {
 		ct.unregister(id)
 		return
 	}
-	for _, li := range ct.told.Instances() {
+	for _, li := range ct.stewardView.Instances() {
 		if li.ID == id {
-			ct.newGone = ct.gone.note(li, now) || ct.newGone
+			ct.newDeparture = ct.departed.add(li, now) || ct.newDeparture
 		}
 	}
 }
 
-// endpointsChanged brings the view up to the endpoints. The steward publishes
-// its own.
+// endpointsChanged updates the view after a change of the endpoints. A steward publishes
+// its own view instead.
 func (ct *control) endpointsChanged() {
 	if ct.lease.core == nil {
 		ct.updateView()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -10,24 +10,24 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// From a cold start on, every kind of request is answered by every daemon, and
-// callers are told of all of them.
+// After a cold start every daemon must answer every kind of request, and the directory must
+// list all daemons.
 func TestColdStart(t *testing.T) {
 	sk := newStack(t, 3)
 	for _, ru := range sk.daemons {
 		for _, path := range []string{"/confirm/", "/slot/"} {
 			id := "id" + path + ru.ip
 			if got := sk.ask(ru, path, id); got != emulator.Body(id) {
-				t.Errorf("%s at %s: %q", path, ru.ip, got)
+				t.Errorf("%s at %s: got body %q", path, ru.ip, got)
 			}
 		}
 		sk.until("all addresses", func() bool { return len(sk.addresses(ru)) == 3 })
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// A configuration that the store has accepted is in force everywhere, and none
-// goes back to an older one, whatever keeps daemons from the store.
+// Guards against a configuration in the store that some daemon does not apply, or replaces
+// with an older one, while daemons are cut off from the store.
 func TestHoldConfig(t *testing.T) {
 	added := emulator.Route{Name: "new", Host: emulator.Host, Prefix: "/new/", Kind: "safe", Timeout: 30000, Target: 10000, Attempts: 2, Service: "desk"}
 	tests := []struct {
@@ -55,14 +55,14 @@
 				}
 				sk.until("new route and key in force", func() bool { return sk.askWith(ru, "/new/", "id", "another-key") == emulator.Body("id") })
 				if got := sk.ask(ru, "/slot/", "old"); got != "status 401" {
-					t.Errorf("with a key that was taken away: %q", got)
+					t.Errorf("with a revoked key: got %q, want status 401", got)
 				}
 			}
 		})
 	}
 }
 
-// A configuration that can't be used is set aside; the last one stays.
+// Guards against an invalid configuration that replaces the current one or blocks the next.
 func TestUnusableConfig(t *testing.T) {
 	sk := newStack(t, 2)
 	sk.de.Store.Put(platform.ConfigKey, []byte(`{"version":1000,"routes":[{"name":"r","kind":"odd"}]}`))
@@ -72,8 +72,8 @@
 	}
 }
 
-// An endpoint says that it leaves, or its entry is gone. After a while no
-// request reaches it any more, though it would still answer.
+// Guards against requests sent to an endpoint that is leaving or whose entry was removed,
+// though it would still answer.
 func TestHoldLeaving(t *testing.T) {
 	for _, how := range []string{"leaves", "gone", "leaves while the steward is cut off"} {
 		t.Run(how, func(t *testing.T) {
@@ -89,7 +89,7 @@
 			}
 			sv := sk.de.Server(id)
 			for _, ru := range sk.daemons {
-				sk.until("the endpoint is left alone", func() bool {
+				sk.until("the endpoint gets no more requests", func() bool {
 					before := len(sv.Runs())
 					for range 10 {
 						sk.ask(ru, "/slot/", "id")
@@ -101,11 +101,11 @@
 	}
 }
 
-// An endpoint's entry goes while the steward can't reach the store. The other
-// daemons see it go. When the steward is back it waits for entries that may have
-// been lost in an outage, and its view names the endpoint; the others must go by
-// what they have seen themselves.
-func TestGoneEndpointStaysGone(t *testing.T) {
+// Guards against a departed endpoint that gets requests again. Its entry is removed while
+// the steward is cut off from the store; the other daemons see that. When the steward
+// reconnects, it waits for entries that may have been lost in an outage and its view
+// contains the endpoint, but the others must use what they have seen.
+func TestDepartedEndpointStaysExcluded(t *testing.T) {
 	sk := newStack(t, 3)
 	st := sk.steward()
 	st.gate.SetFault(emulator.Busy)
@@ -120,7 +120,7 @@
 		return true
 	})
 	sk.de.Forget(id)
-	quiet := func(ru *running) bool {
+	quiet := func(ru *testDaemon) bool {
 		before := len(sv.Runs())
 		for range 10 {
 			sk.ask(ru, "/slot/", "id")
@@ -128,10 +128,10 @@
 		return len(sv.Runs()) == before
 	}
 	for _, ru := range sk.daemons {
-		sk.until("the endpoint is left alone", func() bool { return quiet(ru) })
+		sk.until("the endpoint gets no more requests", func() bool { return quiet(ru) })
 	}
 	st.gate.SetFault(emulator.Sound)
-	sk.until("the steward's word is taken again", func() bool {
+	sk.until("the others rely on the steward again", func() bool {
 		for _, ru := range sk.daemons {
 			if ru != st && ru.da.control.follows() {
 				return false
@@ -149,8 +149,8 @@
 	}
 }
 
-// A daemon is told to stop while it passes a stream on and other callers hold
-// its address still. The stream ends whole, and the others stop naming it.
+// Guards against streams that are cut off when a daemon is stopped gracefully, and against
+// refusing callers that still have its address. The other daemons must stop listing it.
 func TestHoldGracefulStop(t *testing.T) {
 	sk := newStack(t, 3)
 	ru := sk.daemons[0]
@@ -158,7 +158,7 @@
 	for i := range cap(answers) {
 		go func() { answers <- sk.ask(ru, "/draft/", fmt.Sprint("stop-", i)) }()
 	}
-	sk.until("streams under way", func() bool { return ru.da.front.Working() == int64(cap(answers)) })
+	sk.until("streams in flight", func() bool { return ru.da.front.Working() == int64(cap(answers)) })
 	ru.stop()
 	late := sk.ask(ru, "/slot/", "late")
 	for range cap(answers) {
@@ -167,62 +167,62 @@
 		}
 	}
 	if late != emulator.Body("late") {
-		t.Errorf("a request just after the stop: %q", late)
+		t.Errorf("a request just after the stop: got %q", late)
 	}
 	if err := <-ru.done; err != nil {
-		t.Errorf("the daemon ended with %v", err)
+		t.Errorf("the daemon returned error %v", err)
 	}
 	ru.done <- nil
 	for _, other := range sk.daemons[1:] {
-		sk.until("the stopped daemon is not named", func() bool { return len(sk.addresses(other)) == 2 })
+		sk.until("the stopped daemon is no longer listed", func() bool { return len(sk.addresses(other)) == 2 })
 	}
 }
 
-// A member of a serving group dies silently. Its group is formed anew with a
-// spare, and requests are served, without any VM in two groups.
+// Guards against a group that stays in use after a member failed without notice. The group
+// must be formed again with a spare, and no VM may be in two groups.
 func TestMemberDies(t *testing.T) {
 	sk := newStack(t, 3)
 	lost := sk.loseMember(sk.daemons[0])
 	sk.de.Forget(lost)
 	for _, ru := range sk.daemons {
-		sk.until("served by whole groups only", func() bool {
-			return !uses(ru, lost) && sk.ask(ru, "/draft/", "after") == wholeStream("after")
+		sk.until("served by complete groups only", func() bool {
+			return !uses(ru, lost) && sk.ask(ru, "/draft/", "after") == completeStream("after")
 		})
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// With many daemons, load and views travel through the steward alone. A member
-// dies and is replaced, then the steward itself is lost: every daemon hears of
-// both and goes on serving by whole groups.
+// Guards against changes lost in a large deployment, where load and views are relayed by
+// the steward. A member fails and is replaced, then the steward is killed: every daemon
+// must apply both changes and serve from complete groups.
 func TestManyDaemons(t *testing.T) {
 	sk := newStack(t, 20)
 	if sk.daemons[0].da.mesh.Direct() {
-		t.Fatal("so few daemons tell each other everything, so the test shows nothing")
+		t.Fatal("the mesh is direct with this few daemons, so the test covers no relaying")
 	}
 	lost := sk.daemons[0].da.view.Load().Groups[0].Members[1].ID
 	sk.de.Kill(lost)
 	sk.de.Forget(lost)
-	usesLost := func(ru *running) bool { return uses(ru, lost) }
+	usesLost := func(ru *testDaemon) bool { return uses(ru, lost) }
 	old := sk.steward()
 	sk.until("the lost member is in no daemon's view", func() bool { return !slices.ContainsFunc(sk.daemons, usesLost) })
 	sk.kill(old)
-	sk.daemons = slices.DeleteFunc(sk.daemons, func(ru *running) bool { return ru == old })
+	sk.daemons = slices.DeleteFunc(sk.daemons, func(ru *testDaemon) bool { return ru == old })
 	if next := sk.steward(); next == old {
-		t.Fatal("the killed daemon is steward still")
+		t.Fatal("the killed daemon is still steward")
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
+		sk.until("served", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
 	}
-	sk.until("the lost daemon is named to no caller", func() bool {
-		return !slices.ContainsFunc(sk.daemons, func(ru *running) bool { return slices.Contains(sk.addresses(ru), old.ip+":18080") })
+	sk.until("the lost daemon is listed nowhere", func() bool {
+		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return slices.Contains(sk.addresses(ru), old.ip+":18080") })
 	})
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// The store is away. Requests are served all the same, and a daemon that
-// starts then learns what it needs from the others.
-func TestStoreAway(t *testing.T) {
+// Guards against refused requests while the store is unavailable. A daemon that starts
+// during the outage must get its state from the other daemons.
+func TestStoreUnavailable(t *testing.T) {
 	for _, fault := range []emulator.StoreFault{emulator.Silent, emulator.Busy} {
 		sk := newStack(t, 3)
 		for _, ru := range sk.daemons {
@@ -232,7 +232,7 @@
 		late := sk.start(2)
 		late.gate.SetFault(fault)
 		for _, ru := range sk.daemons {
-			sk.until("served without the store", func() bool { return sk.ask(ru, "/draft/", "away") == wholeStream("away") })
+			sk.until("served without the store", func() bool { return sk.ask(ru, "/draft/", "away") == completeStream("away") })
 		}
 	}
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -10,111 +10,114 @@
 )
 
 const (
-	// watchWait is how long a watch of the store waits. A watch may hear
-	// nothing of a change, so its silence is believed no longer than this.
-	watchWait = 800 * time.Millisecond
-	// watchPause is the time after a change during which others may come that
-	// are then fetched with the same call.
+	// watchTimeout is the duration of a watch. A watch may miss a change, so a lack of
+	// changes is trusted no longer than this.
+	watchTimeout = 800 * time.Millisecond
+	// watchPause is the time to wait after a change, so that changes close together are
+	// fetched in one call.
 	watchPause = 40 * time.Millisecond
-	// retryPause is the time between calls to a store that does not answer; it
-	// doubles up to maxRetryPause, since refused calls count like others.
+	// retryPause is the time between calls to a store that does not answer. It doubles up
+	// to maxRetryPause, since rejected calls count toward the store's limits too.
 	retryPause    = 250 * time.Millisecond
 	maxRetryPause = time.Second
-	// retryPauseOthers and maxRetryPauseOthers are the same for daemons that are no
-	// deputies: they hear of the store's return from those.
+	// retryPauseOthers and maxRetryPauseOthers apply to daemons that are not deputies; the
+	// deputies notify them when the store is back.
 	retryPauseOthers    = time.Second
 	maxRetryPauseOthers = 8 * time.Second
-	// idlePause is the time between looks whether to follow the store again.
+	// idlePause is the time between checks whether to follow the store again.
 	idlePause = 100 * time.Millisecond
 )
 
-// follower reads a prefix of the store and keeps up with its changes.
+// follower reads all items under a prefix of the store and watches them for changes.
 type follower struct {
 	ct     *control
 	prefix string
-	// snapshot gets all items, and whether the store did not answer before; changed
-	// gets those that changed since.
-	snapshot func(items []platform.Item, revision int64, wasAway bool)
+	// snapshot receives all items, and whether the store was unavailable before. changed
+	// receives the items that have changed.
+	snapshot func(items []platform.Item, revision int64, wasUnavailable bool)
 	changed  func(items []platform.Item)
-	// after is the revision to go on from; 0 makes it read all. turn is the turn
-	// of following that it holds for.
-	after   int64
-	turn    int
-	failing bool
-	// pause is the time until the next try, while the store does not answer.
+	// after is the revision from which to continue; 0 means to read everything. generation
+	// is the follow generation for which it is valid.
+	after      int64
+	generation int
+	failing    bool
+	// pause is the time until the next attempt while the store does not answer.
 	pause time.Duration
 }
 
+// followConfig follows the configuration in the store until ctx ends.
 func (ct *control) followConfig(ctx context.Context) {
-	take := func(items []platform.Item) {
+	apply := func(items []platform.Item) {
 		for _, it := range items {
 			if it.Key == platform.ConfigKey && !it.Deleted {
 				ct.setConfig(it.Value, it.Revision, fromStore)
 			}
 		}
 	}
-	fo := &follower{ct: ct, prefix: platform.ConfigPrefix, changed: take,
-		snapshot: func(items []platform.Item, _ int64, _ bool) { take(items) }}
+	fo := &follower{ct: ct, prefix: platform.ConfigPrefix, changed: apply,
+		snapshot: func(items []platform.Item, _ int64, _ bool) { apply(items) }}
 	fo.run(ctx)
 }
 
+// followEndpoints follows the endpoint entries in the store until ctx ends.
 func (ct *control) followEndpoints(ctx context.Context) {
 	fo := &follower{ct: ct, prefix: platform.EndpointPrefix, snapshot: ct.snapshot, changed: ct.changed}
 	fo.run(ctx)
 }
 
-// run follows the store while this daemon is to do so.
+// run follows the store whenever this daemon is to follow it, until ctx ends.
 func (fo *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		turn := fo.ct.followTurn()
-		if turn != fo.turn {
-			fo.after, fo.turn = 0, turn
+		generation := fo.ct.followGeneration()
+		if generation != fo.generation {
+			fo.after, fo.generation = 0, generation
 		}
-		if turn == 0 {
-			_ = fo.ct.da.Clock.Sleep(ctx, idlePause) // The loop looks at ctx.
+		if generation == 0 {
+			_ = fo.ct.da.Clock.Sleep(ctx, idlePause) // The loop checks ctx.
 			continue
 		}
-		if err := fo.once(ctx); err != nil && ctx.Err() == nil {
-			fo.lost(err)
-			_ = fo.ct.da.Clock.Sleep(ctx, fo.pause) // The loop looks at ctx.
+		if err := fo.followOnce(ctx); err != nil && ctx.Err() == nil {
+			fo.handleFailure(err)
+			_ = fo.ct.da.Clock.Sleep(ctx, fo.pause) // The loop checks ctx.
 		}
 	}
 }
 
-func (fo *follower) once(ctx context.Context) error {
+// followOnce reads all items if needed and then watches for changes once.
+func (fo *follower) followOnce(ctx context.Context) error {
 	if fo.after == 0 {
 		items, rev, err := fo.ct.da.store.Range(ctx, fo.prefix)
 		if err != nil {
 			return err
 		}
-		wasAway := fo.failing
-		fo.regained()
+		wasUnavailable := fo.failing
+		fo.handleRecovery()
 		fo.after = rev
 		fo.ct.post(func() {
-			fo.snapshot(items, rev, wasAway)
-			fo.ct.confirmPart(fo.prefix)
+			fo.snapshot(items, rev, wasUnavailable)
+			fo.ct.confirmPrefix(fo.prefix)
 		})
 	}
-	items, _, err := fo.ct.da.store.Watch(ctx, fo.prefix, fo.after, watchWait)
+	items, _, err := fo.ct.da.store.Watch(ctx, fo.prefix, fo.after, watchTimeout)
 	if errors.Is(err, platform.ErrHistoryGone) {
-		fo.ct.da.Log.Info("store: history is gone, reading all.", "prefix", fo.prefix)
+		fo.ct.da.Log.Info("store: history compacted, reading all items again.", "prefix", fo.prefix)
 		fo.after = 0
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	// Only changes that came move the place to go on from: a quiet answer may
-	// tell a revision behind changes that the watch has not delivered.
+	// Only received changes advance the revision: an answer without changes may carry a
+	// revision newer than changes that the watch has not delivered yet.
 	for _, it := range items {
 		fo.after = max(fo.after, it.Revision)
 	}
-	fo.regained()
+	fo.handleRecovery()
 	fo.ct.post(func() {
 		if len(items) > 0 {
 			fo.changed(items)
 		}
-		fo.ct.confirmPart(fo.prefix)
+		fo.ct.confirmPrefix(fo.prefix)
 	})
 	if len(items) > 0 {
 		return fo.ct.da.Clock.Sleep(ctx, watchPause)
@@ -122,35 +125,38 @@
 	return nil
 }
 
-func (fo *follower) lost(err error) {
+// handleFailure records a failed call to the store and sets the pause before the next
+// attempt. Following restarts with a full read.
+func (fo *follower) handleFailure(err error) {
 	if !fo.failing {
 		fo.ct.da.Log.Warn("store: lost.", "prefix", fo.prefix, "cause", err.Error())
 	}
 	least, most := fo.ct.retryPauses()
 	fo.pause = min(most, max(least, 2*fo.pause))
 	if fo.prefix == platform.EndpointPrefix {
-		fo.ct.storeAway.Store(true)
-	} else if fo.ct.storeAway.Load() {
-		// The endpoints' follower finds out when the store is back.
+		fo.ct.storeUnavailable.Store(true)
+	} else if fo.ct.storeUnavailable.Load() {
+		// The follower of the endpoints detects when the store is back.
 		fo.pause = most
 	}
 	fo.failing = true
 	fo.after = 0
 }
 
-func (fo *follower) regained() {
+// handleRecovery records a successful call to the store.
+func (fo *follower) handleRecovery() {
 	if fo.failing {
 		fo.ct.da.Log.Info("store: regained.", "prefix", fo.prefix)
 	}
 	if fo.prefix == platform.EndpointPrefix {
-		fo.ct.storeAway.Store(false)
+		fo.ct.storeUnavailable.Store(false)
 	}
 	fo.failing, fo.pause = false, 0
 }
 
-// confirmPart notes that what is below a prefix was confirmed just now. The
-// endpoints count; the configuration is followed at the same pace.
-func (ct *control) confirmPart(prefix string) {
+// confirmPrefix records that the store has just confirmed the items under prefix. The state
+// is as old as the older of the endpoints and the configuration.
+func (ct *control) confirmPrefix(prefix string) {
 	now := ct.da.Clock.Now()
 	if prefix == platform.EndpointPrefix {
 		ct.lease.endpointsAt = now
@@ -164,12 +170,13 @@
 	wasStale := ct.age(now) > staleAfter
 	ct.confirm(at)
 	if wasStale && ct.age(now) < freshAfter && ct.lease.core == nil && ct.deputy.Load() && !ct.da.mesh.Direct() {
-		// The others begin to follow by themselves unless they hear of it in time.
-		ct.sendBeat(beatExtra{to: mesh.ToEveryone})
+		// Without this heartbeat the other daemons would begin to follow the store
+		// themselves.
+		ct.sendHeartbeat(heartbeatExtra{to: mesh.ToEveryone})
 	}
 }
 
-// retryPauses returns the bounds of the time between calls to a store that does not
+// retryPauses returns the minimum and maximum time between calls to a store that does not
 // answer.
 func (ct *control) retryPauses() (least, most time.Duration) {
 	if ct.deputy.Load() || ct.da.mesh.Direct() {
@@ -178,22 +185,22 @@
 	return retryPauseOthers, maxRetryPauseOthers
 }
 
-// follows tells whether this daemon follows the store itself.
-func (ct *control) follows() bool { return ct.followTurn() > 0 }
+// follows reports whether this daemon follows the store itself.
+func (ct *control) follows() bool { return ct.followGeneration() > 0 }
 
-// followTurn returns the present turn of following, or 0 when this daemon
-// does not follow the store.
-func (ct *control) followTurn() int {
+// followGeneration returns the current follow generation, or 0 if this daemon does not
+// follow the store.
+func (ct *control) followGeneration() int {
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	if !ct.following {
 		return 0
 	}
-	return ct.turn
+	return ct.generation
 }
 
-// stepFollowing decides whether to follow the store: the steward does, and
-// whoever has not heard from it lately.
+// stepFollowing decides whether to follow the store. The steward does, and so do daemons
+// without a recent heartbeat from the steward or a deputy.
 func (ct *control) stepFollowing(now time.Time) {
 	age := ct.age(now)
 	following := ct.follows()
@@ -201,13 +208,13 @@
 	switch {
 	case ct.lease.core != nil:
 		want = true
-	case age > staleAfter && (ct.isDeputy(now) || ct.deputySilence(now) > staleAfter+deputyPatience):
+	case age > staleAfter && (ct.isDeputy(now) || ct.deputyStaleness(now) > staleAfter+deputyTimeout):
 		want = true
-	case now.Sub(ct.heard) < freshAfter && ct.steward.Age < freshAfter:
+	case now.Sub(ct.lastStewardHeartbeat) < freshAfter && ct.steward.Age < freshAfter:
 		want = false
-	case following && !ct.isDeputy(now) && now.Sub(ct.deputyFresh()) < freshAfter:
-		// A deputy was late once: each daemon that goes on following the store for it
-		// costs two calls a second and one for each change.
+	case following && !ct.isDeputy(now) && now.Sub(ct.deputyConfirmedAt()) < freshAfter:
+		// A deputy was late once. Each daemon that keeps following the store in its place
+		// costs two calls per second and one per change.
 		want = false
 	}
 	if want == following {
@@ -216,7 +223,7 @@
 	ct.mu.Lock()
 	ct.following = want
 	if want {
-		ct.turn++
+		ct.generation++
 	}
 	ct.mu.Unlock()
 	if want {
--- a/internal/entry/gone.go
+++ b/internal/entry/gone.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// tellGone is how long the others are told of an endpoint that has left.
-	tellGone = 3 * time.Second
-	// forgetGone is how much newer than its leave the steward's knowledge must be until
-	// it is left out of views no more. One that was only cut off from the store
-	// registers anew in the same life, and is used again then. Counted by the daemon's own
-	// time instead, servers got requests 4.3 s after they had said that they leave: the
-	// store had turned the steward away for longer.
-	forgetGone = 4 * time.Second
+	// announceDepartureFor is how long a departure is announced to the other daemons.
+	announceDepartureFor = 3 * time.Second
+	// forgetDepartureAfter is how much newer than the departure the steward's state must
+	// be before the endpoint is no longer excluded from views. An endpoint that was only
+	// cut off from the store registers again with the same incarnation and is then used
+	// again. The steward's state counts rather than this daemon's clock: the store may
+	// reject the steward for longer than this, and servers got requests 4.3 s after they
+	// had announced that they leave.
+	forgetDepartureAfter = 4 * time.Second
 )
 
-// goneEndpoints are endpoints that were seen to leave at the store, by this
-// daemon or another one. A steward that is cut off from the store names them
-// still in its views, and for a while after it is back: entries that are missing
-// then may return. Whoever has seen one leave must send it nothing new. A server
-// that starts again under its ID has another life, which has not left.
-type goneEndpoints map[catalog.Instance]time.Time
+// departedEndpoints are instances that this daemon or another one has seen depart, with the
+// time of their departure. A steward that is cut off from the store still has them in its
+// views, also for a while after it reconnects, since missing entries may reappear. A daemon
+// that knows of a departure must send the instance nothing new. A restarted server has
+// another incarnation and does not count as departed.
+type departedEndpoints map[catalog.Instance]time.Time
 
-// note adds an endpoint and tells whether it was new.
-func (ge goneEndpoints) note(li catalog.Instance, now time.Time) bool {
+// add adds an instance and reports whether it was new.
+func (ge departedEndpoints) add(li catalog.Instance, now time.Time) bool {
 	if _, ok := ge[li]; ok {
 		return false
 	}
@@ -33,66 +34,66 @@
 	return true
 }
 
-// has tells whether the endpoint was seen to leave, in this life or in one that
-// was not known.
-func (ge goneEndpoints) has(li catalog.Instance) bool {
-	for gone := range ge {
-		if gone.ID == li.ID && !gone.Incarnation.Differs(li.Incarnation) {
+// has reports whether the instance has departed. An unknown incarnation matches any.
+func (ge departedEndpoints) has(li catalog.Instance) bool {
+	for departed := range ge {
+		if departed.ID == li.ID && !departed.Incarnation.Differs(li.Incarnation) {
 			return true
 		}
 	}
 	return false
 }
 
-// lately returns the endpoints to tell the others of, and forgets those that the
-// steward, whose knowledge is from that time, knows of. A daemon that follows the store
-// tells of them for as long as the steward does not: others may have started since.
-func (ge goneEndpoints) lately(now, known time.Time, follows bool) []catalog.Instance {
-	var lately []catalog.Instance
+// recent returns the departures to announce, and removes those that the steward has known
+// for long enough. known is the time of the steward's state. A daemon that follows the
+// store announces departures for as long as the steward does not know of them, since other
+// daemons may have started meanwhile.
+func (ge departedEndpoints) recent(now, known time.Time, follows bool) []catalog.Instance {
+	var recent []catalog.Instance
 	for li, at := range ge {
 		switch {
-		case now.Sub(at) > forgetGone && known.Sub(at) > forgetGone:
+		case now.Sub(at) > forgetDepartureAfter && known.Sub(at) > forgetDepartureAfter:
 			delete(ge, li)
-		case now.Sub(at) < tellGone, follows && known.Before(at):
-			lately = append(lately, li)
+		case now.Sub(at) < announceDepartureFor, follows && known.Before(at):
+			recent = append(recent, li)
 		}
 	}
-	return lately
+	return recent
 }
 
-// stewardKnowledge is when the store last confirmed what the steward knows.
-func (ct *control) stewardKnowledge() time.Time {
-	if ct.lease.core == nil && !ct.heard.IsZero() {
-		return ct.heard.Add(-ct.steward.Age)
+// stewardConfirmedAt returns when the store last confirmed the steward's state.
+func (ct *control) stewardConfirmedAt() time.Time {
+	if ct.lease.core == nil && !ct.lastStewardHeartbeat.IsZero() {
+		return ct.lastStewardHeartbeat.Add(-ct.steward.Age)
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
 	return ct.confirmed
 }
 
-// filter takes the endpoints out of a view.
-func (ge goneEndpoints) filter(vi *catalog.View) *catalog.View {
+// filter returns vi without the departed endpoints.
+func (ge departedEndpoints) filter(vi *catalog.View) *catalog.View {
 	if len(ge) == 0 {
 		return vi
 	}
 	return vi.Without(ge.has)
 }
 
-// hearGone takes in the endpoints that another daemon has seen leave.
-func (ct *control) hearGone(lives []catalog.Instance, now time.Time) {
-	heard := false
-	for _, li := range lives {
-		if !ct.gone.note(li, now) {
+// applyDepartures applies departures announced by another daemon.
+func (ct *control) applyDepartures(instances []catalog.Instance, now time.Time) {
+	added := false
+	for _, li := range instances {
+		if !ct.departed.add(li, now) {
 			continue
 		}
-		heard = true
+		added = true
 		if ep, ok := ct.endpoints[li.ID]; ok && ct.age(now) > staleAfter && !ep.Incarnation.Differs(li.Incarnation) {
-			// This daemon can't see it itself. When it reaches the store again, it
-			// reads all entries anew.
+			// This daemon cannot see the removal itself. When it reaches the store
+			// again, it reads all entries anew.
 			ct.unregister(li.ID)
 		}
 	}
-	if !heard {
+	if !added {
 		return
 	}
 	ct.updateView()
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -19,23 +19,23 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// patience bounds what a test waits for; it outlasts any delay of a busy
-// machine. No test asserts that something takes less.
-const patience = 60 * time.Second
+// waitTimeout bounds the wait for a condition. It exceeds any delay of a loaded machine; no
+// test asserts that something is faster.
+const waitTimeout = 60 * time.Second
 
 // stack is a small deployment with daemons on loopback addresses.
 type stack struct {
 	t       *testing.T
 	ctx     context.Context
 	de      *emulator.Deployment
-	daemons []*running
+	daemons []*testDaemon
 	client  *http.Client
 	subnet  int
-	// log holds what all daemons have logged.
+	// log holds the log of all daemons.
 	log *logBuffer
 }
 
-// logBuffer keeps log lines for tests that read them.
+// logBuffer collects log lines for tests that read them.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf strings.Builder
@@ -54,18 +54,18 @@
 	return lb.buf.String()
 }
 
-// running is a daemon with its way to the store.
-type running struct {
+// testDaemon is a daemon with its gate to the store.
+type testDaemon struct {
 	da   *Daemon
 	ip   string
 	gate *emulator.Gate
-	// kill ends the daemon without any farewell, stop tells it to stop.
+	// kill ends the daemon immediately, stop ends it gracefully.
 	kill, stop context.CancelFunc
 	dead       context.Context
 	done       chan error
 }
 
-// subnets gives each test addresses of its own.
+// subnets assigns separate addresses to each test.
 var subnets = make(chan int, 200)
 
 func init() {
@@ -74,6 +74,8 @@
 	}
 }
 
+// newStack starts an emulated deployment with the given number of daemons and waits until
+// all of them serve.
 func newStack(t *testing.T, daemons int) *stack {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,13 +92,13 @@
 		if len(sk.daemons) > 0 && sk.members(sk.daemons[0]) < sk.de.Models-1 {
 			return false
 		}
-		return !slices.ContainsFunc(sk.daemons, func(ru *running) bool { return sk.ask(ru, "/draft/", "warm-up") != wholeStream("warm-up") })
+		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return sk.ask(ru, "/draft/", "warm-up") != completeStream("warm-up") })
 	})
 	return sk
 }
 
-// members counts the VMs of the groups that a daemon uses.
-func (sk *stack) members(ru *running) int {
+// members returns the number of VMs in the groups that a daemon uses.
+func (sk *stack) members(ru *testDaemon) int {
 	vi := ru.da.view.Load()
 	if vi == nil {
 		return 0
@@ -110,8 +112,8 @@
 
 func (sk *stack) ip(num int) string { return fmt.Sprintf("127.0.%d.%d", sk.subnet, num+1) }
 
-// start starts the daemon of that number, or starts it anew.
-func (sk *stack) start(num int) *running {
+// start starts or restarts the daemon with the given number.
+func (sk *stack) start(num int) *testDaemon {
 	sk.t.Helper()
 	gate, store, err := sk.de.OpenGate()
 	if err != nil {
@@ -124,13 +126,13 @@
 	}
 	ctx, stop := context.WithCancel(sk.ctx)
 	dead, kill := context.WithCancel(sk.ctx)
-	ru := &running{ip: ip, gate: gate, kill: kill, stop: stop, dead: dead, done: make(chan error, 1),
+	ru := &testDaemon{ip: ip, gate: gate, kill: kill, stop: stop, dead: dead, done: make(chan error, 1),
 		da: &Daemon{base: dead, Settings: set, Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(testWriter{sk.t, sk.log}, nil))}}
 	go func() {
 		err := ru.da.Run(ctx)
 		if err != nil && sk.ctx.Err() == nil {
-			// Its addresses are in use, say, by another run of these tests.
-			sk.t.Errorf("daemon %d ended: %v", num, err)
+			// Its addresses may be in use by another run of these tests.
+			sk.t.Errorf("daemon %d ended with error: %v", num, err)
 		}
 		ru.done <- err
 	}()
@@ -143,18 +145,19 @@
 	return ru
 }
 
-// kill ends a daemon without any farewell.
-func (sk *stack) kill(ru *running) {
+// kill ends a daemon immediately and waits for it.
+func (sk *stack) kill(ru *testDaemon) {
 	ru.kill()
 	ru.stop()
 	select {
 	case err := <-ru.done:
 		ru.done <- err
-	case <-time.After(patience):
-		sk.t.Error("a daemon does not end")
+	case <-time.After(waitTimeout):
+		sk.t.Error("a daemon does not end in time")
 	}
 }
 
+// testWriter writes log lines to the test's log and to a logBuffer.
 type testWriter struct {
 	t   *testing.T
 	log *logBuffer
@@ -168,19 +171,21 @@
 	return len(line), nil
 }
 
-// until waits for something to become true.
-func (sk *stack) until(what string, is func() bool) {
+// until waits until a condition holds, and fails the test after waitTimeout.
+func (sk *stack) until(what string, condition func() bool) {
 	sk.t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			sk.t.Fatalf("not reached: %s", what)
+			sk.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
+// events is the number of events in a stream.
 const events = 5
 
-func wholeStream(id string) string {
+// completeStream returns the body of a complete stream for a request.
+func completeStream(id string) string {
 	var all strings.Builder
 	for num := 1; num <= events; num++ {
 		all.WriteString(emulator.Event(id, num))
@@ -188,13 +193,14 @@
 	return all.String()
 }
 
-// ask sends a request to a daemon and returns the body of a 200 answer, or a
-// word about any other.
-func (sk *stack) ask(ru *running, path, id string) string {
+// ask sends a request to a daemon and returns the body of a 200 response, or a description
+// of any other result.
+func (sk *stack) ask(ru *testDaemon, path, id string) string {
 	return sk.askWith(ru, path, id, emulator.Key)
 }
 
-func (sk *stack) askWith(ru *running, path, id, key string) string {
+// askWith is like ask with the given API key.
+func (sk *stack) askWith(ru *testDaemon, path, id, key string) string {
 	req, err := http.NewRequestWithContext(sk.ctx, http.MethodPost, "http://"+ru.ip+":18080"+path+"x", strings.NewReader("question"))
 	if err != nil {
 		sk.t.Fatal(err)
@@ -221,8 +227,8 @@
 	return string(body)
 }
 
-// addresses asks a daemon where to connect.
-func (sk *stack) addresses(ru *running) []string {
+// addresses queries a daemon's directory and returns the listed addresses.
+func (sk *stack) addresses(ru *testDaemon) []string {
 	rsp, err := sk.client.Get(platform.ResolveURL(ru.ip+":18083", emulator.Host, "hall-a"))
 	if err != nil {
 		return nil
@@ -235,16 +241,16 @@
 	return an.Addresses
 }
 
-// steward returns the daemon that is the steward now.
-func (sk *stack) steward() *running {
-	var found *running
+// steward waits for a daemon that is a ready steward and returns it.
+func (sk *stack) steward() *testDaemon {
+	var found *testDaemon
 	sk.until("a steward", func() bool {
 		for _, ru := range sk.daemons {
 			is := make(chan bool, 1)
 			if ru.dead.Err() != nil {
 				continue
 			}
-			ru.da.control.post(func() { is <- ru.da.control.lease.settled() })
+			ru.da.control.post(func() { is <- ru.da.control.lease.ready() })
 			select {
 			case yes := <-is:
 				if yes {
@@ -258,16 +264,17 @@
 	return found
 }
 
-func (sk *stack) checkPromises() {
+// checkInvariants fails the test if the fleet has recorded violations of its invariants.
+func (sk *stack) checkInvariants() {
 	sk.t.Helper()
 	if bad := sk.de.Fleet.Violations(); len(bad) > 0 {
-		sk.t.Errorf("promises broken: %v", bad)
+		sk.t.Errorf("invariants violated: %v", bad)
 	}
 }
 
-// loseMember kills a member of a large group that a daemon uses and returns its
-// identifier.
-func (sk *stack) loseMember(ru *running) string {
+// loseMember kills a member of a group of the large model that a daemon uses, and returns
+// its ID.
+func (sk *stack) loseMember(ru *testDaemon) string {
 	lost := ""
 	for _, gr := range ru.da.view.Load().Groups {
 		if gr.Model == emulator.ModelLarge {
@@ -278,24 +285,24 @@
 	return lost
 }
 
-// uses tells whether a VM is a member of a group that a daemon sends to.
-func uses(ru *running, id string) bool {
+// uses reports whether a VM is a member of a group in a daemon's view.
+func uses(ru *testDaemon, id string) bool {
 	return slices.ContainsFunc(ru.da.view.Load().Groups, func(gr catalog.Group) bool {
 		return slices.ContainsFunc(gr.Members, func(me catalog.Member) bool { return me.ID == id })
 	})
 }
 
-// setStore makes the store misbehave towards all daemons.
-func (sk *stack) setStore(fault emulator.StoreFault) {
+// setStoreFault sets the store's fault for all daemons.
+func (sk *stack) setStoreFault(fault emulator.StoreFault) {
 	for _, ru := range sk.daemons {
 		ru.gate.SetFault(fault)
 	}
 }
 
-// untilNoticed lets callers come until a daemon uses no group of a lost VM.
-func (sk *stack) untilNoticed(ru *running, lost string) {
+// untilUnused sends requests until the daemon uses no group of the lost VM.
+func (sk *stack) untilUnused(ru *testDaemon, lost string) {
 	sk.t.Helper()
-	sk.until("the group without its member is noticed", func() bool {
+	sk.until("no group of the lost member is used", func() bool {
 		for _, ru := range sk.daemons {
 			go sk.ask(ru, "/draft/", "stalled")
 		}
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// joinPatience is how long a daemon that starts waits for word of who else is
-	// there before it acts as if it were alone.
-	joinPatience = 500 * time.Millisecond
-	// seedPause is the time between questions to the daemons named in the settings,
-	// while the store does not say who is there.
-	seedPause = 500 * time.Millisecond
-	// maxJoinPause bounds the time between tries to be known at the store, which
-	// doubles. Daemons that are heard already need it for those alone that start later.
+	// joinTimeout is how long a starting daemon waits to discover the other daemons before
+	// it proceeds as if it were alone.
+	joinTimeout = 500 * time.Millisecond
+	// seedInterval is the time between queries to the seed daemons while the store has not
+	// returned the list of daemons.
+	seedInterval = 500 * time.Millisecond
+	// maxJoinPause bounds the time between attempts to register at the store, which
+	// doubles. A running daemon needs its registration only so that daemons which start
+	// later discover it.
 	maxJoinPause = 4 * time.Second
 )
 
-// join makes the daemon known at the store and learns of the others, there or
-// from the seeds.
+// join registers the daemon at the store and discovers the other daemons from the store or
+// the seeds.
 func (ct *control) join(ctx context.Context) {
 	seeds, stop := context.WithCancel(ctx)
 	defer stop()
-	ct.da.once(&ct.wg, func(context.Context) { ct.joinSeeds(seeds) })
+	ct.da.spawn(&ct.wg, func(context.Context) { ct.joinSeeds(seeds) })
 	pause := retryPause
 	for ctx.Err() == nil {
 		known, err := ct.joinStore(ctx)
@@ -34,15 +35,15 @@
 			return
 		}
 		if err != nil {
-			ct.da.Log.Info("control: daemons not read.", "cause", err.Error())
-			_ = ct.da.Clock.Sleep(ctx, pause) // The loop looks at ctx.
+			ct.da.Log.Info("control: registering at the store failed.", "cause", err.Error())
+			_ = ct.da.Clock.Sleep(ctx, pause) // The loop checks ctx.
 			pause = min(maxJoinPause, 2*pause)
 		}
 	}
 }
 
-// joinStore reads who is known at the store and which requests are quarantined, and makes
-// this daemon known unless it is: one that starts again at its address costs no write.
+// joinStore reads the daemons and quarantined requests from the store and registers this
+// daemon if it is not registered yet. A daemon that restarts at its address costs no write.
 func (ct *control) joinStore(ctx context.Context) (known bool, err error) {
 	items, _, err := ct.da.store.Range(ctx, keyPrefix)
 	if err != nil {
@@ -56,7 +57,7 @@
 		known = known || ip == ct.da.Settings.IP
 		ips = append(ips, ip)
 	}
-	ct.knowDaemons(ips)
+	ct.addDaemons(ips)
 	if known {
 		ct.da.Log.Info("control: daemons known.", "count", len(ips))
 		return true, nil
@@ -66,8 +67,8 @@
 	return false, err
 }
 
-// knowDaemons takes in who is there.
-func (ct *control) knowDaemons(ips []string) {
+// addDaemons adds discovered daemons to the mesh.
+func (ct *control) addDaemons(ips []string) {
 	ct.da.mesh.Know(ips)
 	ct.post(func() {
 		ct.joined = true
@@ -75,9 +76,9 @@
 	})
 }
 
-// joinSeeds learns of the other daemons from those named in the settings, for the
-// case that the store is away. Daemons that start together are known to the seeds a
-// little later, so it asks again.
+// joinSeeds discovers the other daemons from the seeds in the settings, in case the store
+// is unavailable. It repeats the query, since a seed learns of daemons that start at the
+// same time a little later.
 func (ct *control) joinSeeds(ctx context.Context) {
 	var seeds []string
 	for _, seed := range ct.da.Settings.Seeds {
@@ -93,8 +94,8 @@
 				ct.da.Log.Debug("control: seed did not answer.", "seed", ip, "cause", err.Error())
 				continue
 			}
-			ct.knowDaemons(more)
+			ct.addDaemons(more)
 		}
-		_ = ct.da.Clock.Sleep(ctx, seedPause) // The loop looks at ctx.
+		_ = ct.da.Clock.Sleep(ctx, seedInterval) // The loop checks ctx.
 	}
 }
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -24,27 +24,27 @@
 )
 
 const (
-	// leaseTTL is how long a steward that falls silent keeps others from
-	// taking over. Nothing is repaired until then: groups lose a member every
-	// two seconds on bad days. It outlasts a slow store, whose answers take
-	// 400 ms, by three renewals; in outages the other daemons' promises hold.
+	// leaseTTL is how long a failed steward's lease prevents others from taking over. No
+	// group is repaired in that time, and on bad days a group loses a member every two
+	// seconds. The lease outlasts three renewals against a slow store, which answers in
+	// 400 ms. In outages of the store the promises of the other daemons replace it.
 	leaseTTL = 1800 * time.Millisecond
-	// renewEvery is the interval of renewals.
-	renewEvery = 450 * time.Millisecond
-	// leaseMargin is taken off a lease's time by its holder.
+	// renewInterval is the interval of lease renewals.
+	renewInterval = 450 * time.Millisecond
+	// leaseMargin is subtracted from the lease's duration by its holder.
 	leaseMargin = 300 * time.Millisecond
-	// startSilence is how long a daemon that has just started waits for a steward to be
-	// heard before it looks at the lease, so that one has time: it learns of the daemon from its first beat
-	// and sends its own every 80 ms. All daemons are without a steward for so
-	// long after a loss of all.
-	startSilence = 750 * time.Millisecond
-	// rankDelay keeps daemons from trying all at once: each waits for those
-	// that come before it by address.
+	// startupStewardTimeout is how long a daemon that has just started waits for a
+	// steward's heartbeat before it tries to acquire the lease. The steward learns of the
+	// daemon from its first heartbeat and sends its own every 80 ms. After a loss of all
+	// daemons there is no steward for this long.
+	startupStewardTimeout = 750 * time.Millisecond
+	// rankDelay staggers the attempts of the daemons: each waits for those that precede
+	// it.
 	rankDelay = 250 * time.Millisecond
-	// campaignPause is the time between looks at the lease.
-	campaignPause = 300 * time.Millisecond
-	// provePatience bounds the question whether a holder's process is there.
-	provePatience = 150 * time.Millisecond
+	// campaignInterval is the time between checks whether to try to acquire the lease.
+	campaignInterval = 300 * time.Millisecond
+	// holderProbeTimeout bounds the check whether the lease holder's process is alive.
+	holderProbeTimeout = 150 * time.Millisecond
 )
 
 // holder is the value of the steward's key.
@@ -53,128 +53,133 @@
 	Started int64  `json:"started"`
 }
 
-// stewardship is the control state's part for the steward's lease.
+// stewardship is the part of the control state that belongs to the steward's lease.
 type stewardship struct {
 	// core is nil unless this daemon is the steward.
 	core *steward.Core
 	term int64
-	// until is the time since boot for which the store's lease is held.
+	// until is the time since boot until which the store's lease is held.
 	until time.Duration
-	// resign ends the renewal of the lease; resigning is set from then on.
+	// resign stops the renewal of the lease. resigning is set from then on.
 	resign    context.CancelFunc
 	resigning bool
-	// sequence counts the views of the term; published is the last one.
+	// sequence counts the views of the term. published is the last one.
 	sequence              int64
 	published             *catalog.View
 	endpointsAt, configAt time.Time
-	// unheldSince is since when the lease is not held for certain; zero while it is.
+	// unheldSince is the time since which the lease is not certainly held; zero while it
+	// is.
 	unheldSince time.Time
-	// stepAfter is when the next step may be made.
-	stepAfter time.Time
-	// demandAt is when the core was last told what callers ask for.
-	demandAt time.Time
-	asked    bool
-	// sentAt is when beats of the term were sent, since boot, by their number;
-	// promises is the newest of them that each daemon has heard.
+	// nextStep is the earliest time of the next step.
+	nextStep time.Time
+	// demandAt is when the core last received the callers' demand.
+	demandAt   time.Time
+	registered bool
+	// sentAt maps heartbeat numbers of the term to their send times since boot. promises
+	// are the daemons' promises, by IP, as of the newest heartbeat that each has
+	// acknowledged.
 	sentAt   map[uint64]time.Duration
 	promises map[string]promise
 }
 
-// settled tells whether the steward knows enough for its view to be used.
-func (sh *stewardship) settled() bool { return sh.core != nil && sh.published != nil }
+// ready reports whether this daemon is the steward and has published a view.
+func (sh *stewardship) ready() bool { return sh.core != nil && sh.published != nil }
 
-// campaign takes the lease when nobody holds it, and renews it.
+// campaign acquires the lease when it is free, and then acts as the steward until the lease
+// is lost.
 func (ct *control) campaign(ctx context.Context) {
 	for ctx.Err() == nil {
 		if ct.da.stopping.Load() {
 			return
 		}
-		if ct.shouldTry() {
-			ct.tryLease(ctx)
+		if ct.shouldCampaign() {
+			ct.acquireLease(ctx)
 			ct.post(func() { ct.campaigning = false })
 		}
-		_ = ct.da.Clock.Sleep(ctx, campaignPause) // The loop looks at ctx.
+		_ = ct.da.Clock.Sleep(ctx, campaignInterval) // The loop checks ctx.
 	}
 }
 
-// shouldTry tells whether no steward was heard for so long that it is this
-// daemon's turn to look at the lease.
-func (ct *control) shouldTry() bool {
-	answer := make(chan bool, 1)
+// shouldCampaign reports whether there has been no steward heartbeat for so long that it is
+// this daemon's turn to try to acquire the lease.
+func (ct *control) shouldCampaign() bool {
+	result := make(chan bool, 1)
 	ct.post(func() {
 		now := ct.da.Clock.Now()
 		rank := 0
 		for _, pe := range ct.da.mesh.Alive() {
-			if ct.before(pe) {
+			if ct.precedes(pe) {
 				rank++
 			}
 		}
 		ct.rank = rank
-		silent, need := now.Sub(ct.heard), ct.patience()
-		if ct.heard.IsZero() {
-			silent, need = now.Sub(ct.begun), startSilence+rankWait(rank)
+		elapsed, delay := now.Sub(ct.lastStewardHeartbeat), ct.campaignDelay()
+		if ct.lastStewardHeartbeat.IsZero() {
+			elapsed, delay = now.Sub(ct.startedAt), startupStewardTimeout+rankWait(rank)
 		}
-		try := ct.lease.core == nil && silent > need && now.After(ct.promisedUntil)
+		try := ct.lease.core == nil && elapsed > delay && now.After(ct.promisedUntil)
 		ct.campaigning = try
-		answer <- try
+		result <- try
 	})
 	select {
-	case try := <-answer:
+	case try := <-result:
 		return try
 	case <-ct.da.work.Done():
 		return false
 	}
 }
 
-// before tells whether another daemon is to be steward rather than this one: a
-// larger machine first, since the steward has several times the work.
-func (ct *control) before(pe mesh.Peer) bool {
+// precedes reports whether pe should become steward rather than this daemon. Larger
+// machines precede smaller ones, since the steward has several times the load of other
+// daemons; the IP address breaks ties.
+func (ct *control) precedes(pe mesh.Peer) bool {
 	own := int(ct.da.Settings.CPUShare * 1000)
 	return pe.Power > own || pe.Power == own && pe.IP < ct.da.Settings.IP
 }
 
 const (
-	// firstRanks is how many daemons try one after the other in the first seconds.
+	// firstRanks is the number of daemons that try one after the other in the first
+	// seconds.
 	firstRanks = 6
-	// laterRankDelay keeps the rest from asking the store all at once while it can't
-	// be written to: of 195 daemons each read the lease 9 to 18 times in the ten
-	// seconds after 117 of them had been killed.
+	// laterRankDelay keeps the remaining daemons from reading the lease all at once while
+	// the store rejects writes: without it, each of 195 daemons read the lease 9 to 18
+	// times in the ten seconds after 117 of them had been killed.
 	laterRankDelay = 100 * time.Millisecond
-	// maxRankWait bounds the wait of the last one, for the case that all others are
-	// cut off from the store.
+	// maxRankWait bounds the wait of the last daemon, in case all others are cut off from
+	// the store.
 	maxRankWait = 12 * time.Second
 )
 
-// rankWait is how much longer than the first a daemon waits that has so many before
-// it.
+// rankWait returns how much longer than the first daemon a daemon with the given rank
+// waits.
 func rankWait(rank int) time.Duration {
 	wait := time.Duration(min(rank, firstRanks)) * rankDelay
 	wait += time.Duration(max(0, rank-firstRanks)) * laterRankDelay
 	return min(wait, maxRankWait)
 }
 
-// tryLease takes the lease if it is free or its holder is certainly gone, and
-// then serves as steward until it is lost.
-func (ct *control) tryLease(ctx context.Context) {
+// acquireLease acquires the lease if it is free or its holder has certainly ended. It then
+// renews the lease, and this daemon acts as the steward, until the lease is lost.
+func (ct *control) acquireLease(ctx context.Context) {
 	item, _, err := ct.da.store.Get(ctx, stewardKey)
 	if err != nil {
-		ct.da.Log.Info("steward: lease not read.", "cause", err.Error())
+		ct.da.Log.Info("steward: reading the lease failed.", "cause", err.Error())
 		return
 	}
-	if item.Revision != 0 && !ct.holderGone(ctx, item) {
+	if item.Revision != 0 && !ct.holderExited(ctx, item) {
 		return
 	}
 	begin := clock.SinceBoot()
 	lease, err := ct.da.store.Grant(ctx, leaseTTL)
 	if err != nil {
-		ct.da.Log.Info("steward: no lease granted.", "cause", err.Error())
+		ct.da.Log.Info("steward: granting a lease failed.", "cause", err.Error())
 		return
 	}
-	term, err := ct.take(ctx, item.Revision, lease)
+	term, err := ct.writeLeaseKey(ctx, item.Revision, lease)
 	if err != nil {
-		ct.da.Log.Info("steward: lease not taken.", "cause", err.Error())
-		// A write that is carried out late must find its lease ended.
-		_ = ct.da.store.End(ctx, lease) // It ends by itself soon.
+		ct.da.Log.Info("steward: acquiring the lease failed.", "cause", err.Error())
+		// A write that takes effect late must find its lease ended.
+		_ = ct.da.store.End(ctx, lease) // It expires soon anyway.
 		return
 	}
 	renewing, resign := context.WithCancel(ctx)
@@ -184,28 +189,28 @@
 	why := "lease lost"
 	if renewing.Err() != nil {
 		why = "stopping"
-		ct.endLease(ctx, lease)
+		ct.releaseLease(ctx, lease)
 	}
 	ct.post(func() { ct.loseSteward(why) })
 }
 
-// endLease ends the lease of a steward that resigns. While the store is away
-// nobody else could take it, so the daemon stays steward and tries again: groups
-// would else lose members unrepaired until the store is back.
-func (ct *control) endLease(ctx context.Context, lease int64) {
+// releaseLease ends the lease of a steward that resigns. While the store is unavailable no
+// other daemon could acquire the lease, so this daemon stays steward and tries again;
+// otherwise groups that lose members would stay unrepaired until the store is back.
+func (ct *control) releaseLease(ctx context.Context, lease int64) {
 	for ctx.Err() == nil {
 		err := ct.da.store.End(ctx, lease)
 		if err == nil || errors.Is(err, platform.ErrNoLease) {
 			return
 		}
-		ct.da.Log.Info("steward: lease not given back; going on.", "cause", err.Error())
-		_ = ct.da.Clock.Sleep(ctx, campaignPause) // The loop looks at ctx.
+		ct.da.Log.Info("steward: releasing the lease failed, continuing as steward.", "cause", err.Error())
+		_ = ct.da.Clock.Sleep(ctx, campaignInterval) // The loop checks ctx.
 	}
 }
 
-// take writes the steward's key if it is still as it was read. The revision is
-// the term: it grows with each steward.
-func (ct *control) take(ctx context.Context, revision, lease int64) (int64, error) {
+// writeLeaseKey writes the steward's key if its revision is unchanged. The new revision is
+// the term; it increases with each steward.
+func (ct *control) writeLeaseKey(ctx context.Context, revision, lease int64) (int64, error) {
 	value, err := json.Marshal(holder{ct.da.Settings.IP, ct.da.started})
 	if err != nil {
 		return 0, err
@@ -214,13 +219,13 @@
 		[]platform.Put{{Key: stewardKey, Value: value, Lease: lease}}, nil)
 }
 
-// holderGone tells whether the process that holds the lease has certainly
-// ended: a later one runs at its address, or nothing listens there. Silence
-// proves nothing.
-func (ct *control) holderGone(ctx context.Context, item platform.Item) bool {
+// holderExited reports whether the process that holds the lease has certainly ended: a
+// newer process runs at its address, or connections there are refused. A lack of heartbeats
+// or a timeout proves nothing.
+func (ct *control) holderExited(ctx context.Context, item platform.Item) bool {
 	var ho holder
 	if err := json.Unmarshal(item.Value, &ho); err != nil {
-		ct.da.Log.Warn("steward: holder not understood.", "cause", err.Error())
+		ct.da.Log.Warn("steward: decoding the lease holder failed.", "cause", err.Error())
 		return false
 	}
 	if ho.IP == ct.da.Settings.IP {
@@ -231,7 +236,7 @@
 			return pe.Started > ho.Started
 		}
 	}
-	di := net.Dialer{Timeout: provePatience}
+	di := net.Dialer{Timeout: holderProbeTimeout}
 	nc, err := di.DialContext(ctx, "tcp", net.JoinHostPort(ho.IP, strconv.Itoa(ct.da.Settings.InnerPorts[1])))
 	if err == nil {
 		nc.Close()
@@ -239,21 +244,20 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// renew renews the lease until it is lost or ctx ends, and returns the one it
-// renewed last. A lease that ran out in an outage is taken anew, if nobody else
-// has taken it.
+// renew renews the lease until it is lost or ctx ends, and returns the last lease ID. A
+// lease that expired in an outage is acquired again unless another daemon holds one.
 func (ct *control) renew(ctx context.Context, lease int64) int64 {
-	for ctx.Err() == nil && ct.da.Clock.Sleep(ctx, renewEvery) == nil {
+	for ctx.Err() == nil && ct.da.Clock.Sleep(ctx, renewInterval) == nil {
 		begin := clock.SinceBoot()
 		err := ct.da.store.Renew(ctx, lease)
 		term := int64(0)
 		if errors.Is(err, platform.ErrNoLease) {
-			if !ct.stillSteward(0, 0) {
+			if !ct.extendLease(0, 0) {
 				return lease
 			}
 			begin = clock.SinceBoot()
 			taken := int64(0)
-			if term, taken, err = ct.retake(ctx); errors.Is(err, platform.ErrConflict) {
+			if term, taken, err = ct.reacquireLease(ctx); errors.Is(err, platform.ErrConflict) {
 				return lease
 			}
 			if err == nil {
@@ -261,28 +265,28 @@
 			}
 		}
 		if err != nil {
-			ct.da.Log.Info("steward: lease not renewed.", "cause", err.Error())
+			ct.da.Log.Info("steward: renewing the lease failed.", "cause", err.Error())
 		}
 		until := time.Duration(0)
 		if err == nil {
 			until = begin + leaseTTL - leaseMargin
 		}
-		if !ct.stillSteward(until, term) {
+		if !ct.extendLease(until, term) {
 			return lease
 		}
 	}
 	return lease
 }
 
-// stillSteward notes until when the lease is held, and the term if it was taken
-// anew, and tells whether this daemon is the steward still.
-func (ct *control) stillSteward(until time.Duration, term int64) bool {
+// extendLease updates the lease's end, and the term if the lease was acquired again. Zero
+// values leave them unchanged. It reports whether this daemon is still the steward.
+func (ct *control) extendLease(until time.Duration, term int64) bool {
 	held := make(chan bool, 1)
 	ct.post(func() {
 		if ct.lease.core != nil {
 			ct.lease.extend(until)
-			if ct.lease.renumber(term) {
-				ct.hearView(ct.lease.published)
+			if ct.lease.adoptTerm(term) {
+				ct.applyView(ct.lease.published)
 			}
 		}
 		held <- ct.lease.core != nil
@@ -295,16 +299,16 @@
 	}
 }
 
-// extend notes until when the lease is held.
+// extend moves the end of the lease forward, unless the steward resigns.
 func (sh *stewardship) extend(until time.Duration) {
 	if !sh.resigning {
 		sh.until = max(sh.until, until)
 	}
 }
 
-// renumber goes on under a new term with what the steward knows, and tells
-// whether there is a view to be told anew.
-func (sh *stewardship) renumber(term int64) bool {
+// adoptTerm continues under a new term with the current state. It reports whether the
+// published view must be applied again under that term.
+func (sh *stewardship) adoptTerm(term int64) bool {
 	if term == 0 {
 		return false
 	}
@@ -318,8 +322,9 @@
 	return true
 }
 
-// retake takes a lease that has run out, unless another daemon holds one now.
-func (ct *control) retake(ctx context.Context) (term, lease int64, err error) {
+// reacquireLease acquires a new lease after the previous one expired. It returns
+// platform.ErrConflict if another daemon holds the lease.
+func (ct *control) reacquireLease(ctx context.Context) (term, lease int64, err error) {
 	item, _, err := ct.da.store.Get(ctx, stewardKey)
 	if err != nil {
 		return 0, 0, err
@@ -331,10 +336,12 @@
 	if lease, err = ct.da.store.Grant(ctx, leaseTTL); err != nil {
 		return 0, 0, err
 	}
-	term, err = ct.take(ctx, item.Revision, lease)
+	term, err = ct.writeLeaseKey(ctx, item.Revision, lease)
 	return term, lease, err
 }
 
+// becomeSteward starts acting as the steward of a new term. The lease is held until the
+// given time since boot.
 func (ct *control) becomeSteward(term int64, until time.Duration, resign context.CancelFunc) {
 	now := ct.da.Clock.Now()
 	ct.da.Log.Info("steward: lease taken.", "term", term)
@@ -343,7 +350,7 @@
 		sentAt: make(map[uint64]time.Duration), promises: make(map[string]promise)}
 	ct.campaigning = false
 	if ct.da.stopping.Load() {
-		// Told to stop while the lease was on its way.
+		// The daemon was stopped while the lease was being acquired.
 		ct.resignNow()
 	}
 	ct.da.mesh.SetSteward(ct.da.Settings.IP)
@@ -353,6 +360,7 @@
 	ct.stepFollowing(now)
 }
 
+// loseSteward stops acting as the steward. why is the reason for the log.
 func (ct *control) loseSteward(why string) {
 	if ct.lease.core == nil {
 		return
@@ -360,13 +368,13 @@
 	ct.da.Log.Info("steward: lease given up.", "term", ct.lease.term, "reason", why)
 	ct.lease = stewardship{endpointsAt: ct.lease.endpointsAt, configAt: ct.lease.configAt}
 	ct.da.stats.Store(nil)
-	ct.heard = ct.da.Clock.Now()
+	ct.lastStewardHeartbeat = ct.da.Clock.Now()
 	ct.da.mesh.SetSteward("")
 }
 
-// resignNow gives the lease back, so that another daemon can take it at once.
-// The store may carry that out at any time from now on without an answer, so only
-// the others' promises show until then that nobody else is steward.
+// resignNow releases the lease, so that another daemon can acquire it immediately. The
+// store may execute the release at any time without an answer, so from now on only the
+// other daemons' promises show that nobody else is steward.
 func (ct *control) resignNow() {
 	if ct.lease.core == nil || ct.lease.resigning {
 		return
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -9,21 +9,22 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// Guards against a word of leaving that stays with the daemon that was told: the others send to
-// the endpoint until the store says the same, and the steward replaces it no sooner.
-func TestLeavingInAnswerIsTold(t *testing.T) {
+// Guards against an endpoint's leave notice that stays with the daemon that received it:
+// the others would send requests to the endpoint until the store has the notice, and the
+// steward would replace the endpoint late.
+func TestLeavingInAnswerIsShared(t *testing.T) {
 	sk := newStack(t, 3)
-	sk.setStore(emulator.Silent)
+	sk.setStoreFault(emulator.Silent)
 	id := sk.de.IDs("desk")[0]
 	desk := sk.de.Server(id)
 	desk.SetNeed(emulator.Need{Leaving: true})
-	sk.until("one daemon is told", func() bool {
+	sk.until("one daemon receives the notice", func() bool {
 		before := len(desk.Arrivals())
 		sk.ask(sk.daemons[0], "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
 		return len(desk.Arrivals()) > before
 	})
 	for _, ru := range sk.daemons {
-		sk.until("all daemons leave it out", func() bool {
+		sk.until("all daemons exclude it", func() bool {
 			for _, pe := range ru.da.view.Load().Plain {
 				if pe.ID == id {
 					return false
@@ -35,16 +36,16 @@
 	before := len(desk.Arrivals())
 	for num := range 30 {
 		if got := sk.ask(sk.daemons[num%len(sk.daemons)], "/slot/", "later"); got != emulator.Body("later") {
-			t.Fatalf("request %d: %s, though another endpoint takes it", num, got)
+			t.Fatalf("request %d: got %s, although another endpoint accepts it", num, got)
 		}
 	}
 	if num := len(desk.Arrivals()) - before; num > 0 {
-		t.Errorf("%d requests for an endpoint that leaves", num)
+		t.Errorf("%d requests to a leaving endpoint, want none", num)
 	}
 }
 
-// Guards against a head that says that it leaves, whose group stays in use: the steward must
-// form another one with its VMs although the store says nothing.
+// Guards against a group that stays in use after its head announced that it is leaving: the
+// steward must form another group with its VMs although the store does not have the notice.
 func TestLeavingHeadIsReplaced(t *testing.T) {
 	sk := newStack(t, 2)
 	ru := sk.daemons[0]
@@ -55,12 +56,12 @@
 		}
 	}
 	sk.de.Server(head).SetNeed(emulator.Need{Leaving: true})
-	sk.until("its group is left", func() bool {
+	sk.until("its group is no longer used", func() bool {
 		sk.ask(ru, "/draft/", fmt.Sprint("told-", time.Now().UnixNano()))
-		return !slices.ContainsFunc(sk.daemons, func(ru *running) bool { return uses(ru, head) })
+		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return uses(ru, head) })
 	})
-	sk.until("all but the leaving VM serve again", func() bool {
+	sk.until("all VMs but the leaving one serve again", func() bool {
 		return sk.members(ru) >= sk.de.Models-2 && !uses(ru, head)
 	})
-	sk.checkPromises()
+	sk.checkInvariants()
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -12,8 +12,8 @@
 	"corianderhub.dev/corianderhub/internal/core/steward"
 )
 
-// newGauges returns the daemon's state as metrics. What is counted over time is
-// with the code that counts it.
+// newGauges returns the gauges of the daemon's state. Counters are declared next to the
+// code that increments them.
 func (da *Daemon) newGauges() *metrics.Set {
 	set := metrics.NewSet()
 	stewards := func(read func(steward.Stats) int) func() float64 {
@@ -28,7 +28,7 @@
 		name string
 		read func() float64
 	}{
-		{"corianderhub_steward", func() float64 { return truth(da.stats.Load() != nil) }},
+		{"corianderhub_steward", func() float64 { return boolGauge(da.stats.Load() != nil) }},
 		{`corianderhub_groups{state="serving"}`, stewards(func(st steward.Stats) int { return st.Serving })},
 		{`corianderhub_groups{state="forming"}`, stewards(func(st steward.Stats) int { return st.Forming })},
 		{`corianderhub_groups{state="broken"}`, stewards(func(st steward.Stats) int { return st.Broken })},
@@ -36,7 +36,7 @@
 		{`corianderhub_vms{state="stranded"}`, stewards(func(st steward.Stats) int { return st.Stranded })},
 		{`corianderhub_vms{state="down"}`, stewards(func(st steward.Stats) int { return st.Down })},
 		{"corianderhub_knowledge_age_seconds", func() float64 { return da.control.age(da.Clock.Now()).Seconds() }},
-		{"corianderhub_following_store", func() float64 { return truth(da.control.follows()) }},
+		{"corianderhub_following_store", func() float64 { return boolGauge(da.control.follows()) }},
 		{"corianderhub_configuration_version", func() float64 {
 			if co := da.config.Load(); co != nil {
 				return float64(co.Version)
@@ -54,7 +54,7 @@
 		{"corianderhub_endpoints_limited", func() float64 { return float64(da.backpressure.NumLimited()) }},
 		{"corianderhub_endpoints_resting", func() float64 { return float64(da.backpressure.Resting(da.Clock.Now())) }},
 		{"corianderhub_requests_in_progress", func() float64 { return float64(da.front.Working()) }},
-		{"corianderhub_retry_budget_left", da.leastBudget},
+		{"corianderhub_retry_budget_left", da.minRetryBudget},
 		{`corianderhub_group_requests{of="own"}`, func() float64 { return float64(da.table.Requests(false)) }},
 		{`corianderhub_group_requests{of="all"}`, func() float64 { return float64(da.table.Requests(true)) }},
 	}
@@ -64,7 +64,7 @@
 	return set
 }
 
-// writeWork writes the measured work of each model, which the steward knows.
+// writeWork writes the measured work of each model in groups. Only the steward has it.
 func (da *Daemon) writeWork(w io.Writer) {
 	st := da.stats.Load()
 	if st == nil {
@@ -75,15 +75,17 @@
 	}
 }
 
-func truth(is bool) float64 {
+// boolGauge returns the gauge value of a condition: 1 if it holds and 0 otherwise.
+func boolGauge(is bool) float64 {
 	if is {
 		return 1
 	}
 	return 0
 }
 
-// leastBudget is the number of repeats left for the service that has fewest.
-func (da *Daemon) leastBudget() float64 {
+// minRetryBudget returns the retries left for the service with the smallest remaining retry
+// budget.
+func (da *Daemon) minRetryBudget() float64 {
 	cfg := da.currentConfig()
 	if cfg == nil {
 		return 0
@@ -97,8 +99,8 @@
 	return least
 }
 
-// sendMetrics answers with all metrics of the process and of this daemon.
-func (da *Daemon) sendMetrics(w http.ResponseWriter, _ *http.Request) {
+// serveMetrics responds with all metrics of the process and of this daemon.
+func (da *Daemon) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	metrics.WritePrometheus(w, true)
 	da.gauges.WritePrometheus(w)
 	da.writeWork(w)
--- a/internal/entry/promise.go
+++ b/internal/entry/promise.go
@@ -7,42 +7,44 @@
 	"corianderhub.dev/corianderhub/internal/mesh"
 )
 
-// The store's outages outlast a steward's lease, and groups lose members meanwhile. So
-// with each beat a daemon promises the steward not to look at the lease for a while, and
-// a steward whose promises of all daemons hold can't be replaced.
+// Outages of the store outlast the steward's lease, and groups lose members meanwhile. With
+// each heartbeat a daemon therefore promises the steward not to try to acquire the lease
+// for a while. A steward cannot be replaced as long as the promises of all daemons hold.
 
 const (
-	// stewardSilence is how long a steward must be silent before another daemon looks
-	// at the lease where all daemons tell each other everything. manySilence is the
-	// same where they are many: a steward hears of 195 daemons 0.5 s late whether they
-	// have heard it, with a beat lost 0.8 s, and gave its lease up in an outage of the
-	// store with less than that.
-	stewardSilence = 500 * time.Millisecond
-	manySilence    = time.Second
-	// promiseMargin is taken off the time that a promise holds.
+	// stewardTimeout is how long there must be no heartbeat from a steward before another
+	// daemon tries to acquire the lease, if all daemons communicate directly.
+	// relayedStewardTimeout is the same for large deployments: the steward of 195 daemons
+	// gets their acknowledgments 0.5 s late, or 0.8 s late if a heartbeat is lost, and
+	// with a shorter timeout it lost its lease in an outage of the store.
+	stewardTimeout        = 500 * time.Millisecond
+	relayedStewardTimeout = time.Second
+	// promiseMargin is subtracted from the duration of a promise.
 	promiseMargin = 100 * time.Millisecond
-	// maxPromise bounds a promise: daemons that are not among the first to look at the
-	// lease wait longer anyway, and the first may be gone with the steward. The lease
-	// itself lasts nearly as long.
+	// maxPromise bounds a promise. Daemons of a higher rank wait longer anyway, and those
+	// of the first ranks may have failed together with the steward. The lease itself lasts
+	// nearly as long.
 	maxPromise = 2 * time.Second
-	// electorateSpan is how long a silent daemon's promise is still asked for.
-	electorateSpan = 8 * time.Second
-	// lapseGrace is how long a steward that does not hold the lease for certain does
-	// nothing before it gives up: a beat or two may be lost. With leaseMargin it ends
-	// before another daemon can hold the lease.
+	// promiseRequiredFor is how long after its last heartbeat the promise of an
+	// unresponsive daemon is still required.
+	promiseRequiredFor = 8 * time.Second
+	// lapseGrace is how long a steward that does not certainly hold the lease pauses
+	// before it stops being steward, since a heartbeat or two may be lost. Together with
+	// leaseMargin it ends before another daemon can hold the lease.
 	lapseGrace = 200 * time.Millisecond
-	// maxNamed bounds the daemons that a log line names.
-	maxNamed = 5
+	// maxLoggedDaemons bounds the daemons named in a log line.
+	maxLoggedDaemons = 5
 )
 
-// promise is a daemon's word not to look at the lease until then, since boot.
+// promise is a daemon's commitment not to try to acquire the lease before the given time
+// since boot. started identifies the daemon's process.
 type promise struct {
 	started int64
 	until   time.Duration
 }
 
-// sent notes when a beat was sent.
-func (sh *stewardship) sent(number uint64) {
+// recordHeartbeat records the send time of a heartbeat.
+func (sh *stewardship) recordHeartbeat(number uint64) {
 	if sh.core == nil {
 		return
 	}
@@ -55,65 +57,66 @@
 	}
 }
 
-// promised takes in what another daemon has heard of this steward.
-func (sh *stewardship) promised(be mesh.Beat) {
+// recordPromise records the promise in another daemon's heartbeat, based on the last
+// heartbeat of this steward that it has received.
+func (sh *stewardship) recordPromise(be mesh.Beat) {
 	if sh.core == nil {
 		return
 	}
-	if be.Uptime < startSilence && sh.promises[be.IP].started != be.Started {
-		// A daemon that has just started waits longer, whatever it has heard.
-		sh.promises[be.IP] = promise{be.Started, clock.SinceBoot() - be.Uptime + startSilence}
+	if be.Uptime < startupStewardTimeout && sh.promises[be.IP].started != be.Started {
+		// A daemon that has just started does not try before startupStewardTimeout,
+		// whatever it has received.
+		sh.promises[be.IP] = promise{be.Started, clock.SinceBoot() - be.Uptime + startupStewardTimeout}
 	}
 	if be.HeardTerm != sh.term {
 		return
 	}
 	if at, ok := sh.sentAt[be.HeardNumber]; ok {
-		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardSilence, be.HeardFor))}
+		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardTimeout, be.HeardFor))}
 	}
 }
 
-// promise makes a beat promise the steward not to look at the lease for a while, and
-// notes that.
-func (ct *control) promise(be *mesh.Beat) {
-	if ct.campaigning || ct.heard.IsZero() {
+// addPromise adds a promise to a heartbeat and records it, unless this daemon is trying to
+// acquire the lease.
+func (ct *control) addPromise(be *mesh.Beat) {
+	if ct.campaigning || ct.lastStewardHeartbeat.IsZero() {
 		return
 	}
 	be.HeardTerm, be.HeardNumber = ct.steward.Term, ct.steward.Number
-	be.HeardFor = min(maxPromise, ct.patience())
-	if until := ct.heard.Add(be.HeardFor); until.After(ct.promisedUntil) {
+	be.HeardFor = min(maxPromise, ct.campaignDelay())
+	if until := ct.lastStewardHeartbeat.Add(be.HeardFor); until.After(ct.promisedUntil) {
 		ct.promisedUntil = until
 	}
 }
 
-// patience is how long a steward that was heard must be silent before this daemon looks
-// at the lease.
-func (ct *control) patience() time.Duration {
+// campaignDelay returns how long after the last heartbeat of a steward this daemon tries to
+// acquire the lease.
+func (ct *control) campaignDelay() time.Duration {
 	if ct.da.mesh.Direct() {
-		return stewardSilence + rankWait(ct.rank)
+		return stewardTimeout + rankWait(ct.rank)
 	}
-	return manySilence + rankWait(ct.rank)
+	return relayedStewardTimeout + rankWait(ct.rank)
 }
 
-// holds tells whether no other daemon can be the steward: because the lease is
-// certainly still this daemon's, or because every other daemon has promised not
-// to look at it yet.
+// holds reports whether no other daemon can be the steward: either the lease is certainly
+// still this daemon's, or all other daemons have promised not to try to acquire it yet.
 func (ct *control) holds() bool {
 	return clock.SinceBoot() < ct.lease.until || len(ct.unpromised()) == 0
 }
 
-// unpromised returns the daemons whose promises do not hold any more. Daemons
-// that were silent for longer than cuts usually last are taken as gone, and so are those
-// whose name a later process has at another address: the machine was replaced. One
-// that leaves will not become steward.
+// unpromised returns the names of the daemons whose promises have expired. It skips daemons
+// that were unresponsive for longer than network cuts usually last, daemons that are
+// leaving, since they will not become steward, and daemons of which a newer process with
+// the same name runs at another address, since the machine was replaced.
 func (ct *control) unpromised() []string {
 	now := clock.SinceBoot()
-	heard := ct.da.mesh.HeardWithin(electorateSpan)
-	started := make(map[string]int64, len(heard))
-	for _, pe := range heard {
+	peers := ct.da.mesh.HeardWithin(promiseRequiredFor)
+	started := make(map[string]int64, len(peers))
+	for _, pe := range peers {
 		started[pe.Name] = max(started[pe.Name], pe.Started)
 	}
 	var names []string
-	for _, pe := range heard {
+	for _, pe := range peers {
 		pr := ct.lease.promises[pe.IP]
 		if pe.Leaving || pe.Started < started[pe.Name] {
 			continue
@@ -125,8 +128,8 @@
 	return names
 }
 
-// lapsed tells whether this daemon may not act as the steward now, and gives the lease
-// up once that has lasted.
+// lapsed reports whether this daemon must not act as the steward now. If that lasts for
+// longer than lapseGrace, the daemon stops being steward.
 func (ct *control) lapsed(now time.Time) bool {
 	sh := &ct.lease
 	if ct.holds() {
@@ -138,7 +141,7 @@
 	}
 	if now.Sub(sh.unheldSince) > lapseGrace {
 		names := ct.unpromised()
-		ct.da.Log.Info("steward: lease not held.", "term", sh.term, "unpromised", len(names), "daemons", names[:min(len(names), maxNamed)])
+		ct.da.Log.Info("steward: lease not held.", "term", sh.term, "unpromised", len(names), "daemons", names[:min(len(names), maxLoggedDaemons)])
 		ct.loseSteward("lease lapsed")
 	}
 	return true
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -15,158 +15,167 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// A request may end each server that begins to run it, and its caller, or a daemon, sends it
-// again: group after group is lost, with all the answers that it was giving. Each attempt
-// has an identifier of its own and may come to any daemon, so what an attempt shows is worth
-// nothing unless it is kept with the request's content and told to all. Daemons tell each
-// other the ends that they see; the request that three servers ended under is quarantined,
-// which is kept at the store, so that it outlasts all daemons.
+// A request may crash each server that processes it, and its caller or a daemon sends it
+// again: group after group is lost, with all their other requests. Each attempt has its own
+// ID and may reach any daemon, so crashes must be recorded by the request's content and
+// shared among all daemons. Daemons announce the crashes that they see. A request under
+// which three servers have crashed is quarantined; the quarantine is kept in the store, so
+// that it survives the loss of all daemons.
 
-// quarantinePrefix precedes a fingerprint in the store's keys.
+// quarantinePrefix precedes a request's fingerprint in the store's keys.
 const quarantinePrefix = keyPrefix + "quarantine/"
 
 const (
-	// tellTimes is in how many beats the others are told of an end; some may be lost.
-	tellTimes = 3
-	// maxTellings bounds what is kept to be told to a new steward, maxTold the requests that
-	// one beat names: 4 KB of them.
-	maxTellings = 256
-	maxTold     = 256
-	// retellFor is how long ago it may have been seen.
-	retellFor = 15 * time.Minute
-	// fetchPause is the time between calls for what other daemons have quarantined.
+	// announceRepeats is the number of heartbeats that carry an announcement, since
+	// some may be lost.
+	announceRepeats = 3
+	// maxAnnouncements bounds the announcements kept for a new steward.
+	// maxAnnouncedRequests bounds the requests named in one heartbeat, which take 4 KB.
+	maxAnnouncements     = 256
+	maxAnnouncedRequests = 256
+	// maxReannounceAge is the maximum age of an event that is announced again to a new
+	// steward.
+	maxReannounceAge = 15 * time.Minute
+	// fetchPause is the minimum time between fetches of other daemons' quarantine entries.
 	fetchPause = time.Second
-	// quarantineEvery is the time between looks at the store. A daemon that hears no other
-	// one learns there what they quarantine.
-	quarantineEvery = 2 * time.Second
-	// maxQuarantinePause bounds it while the store does not answer.
+	// quarantineSyncInterval is the time between synchronizations with the store. A daemon
+	// that is cut off from the others learns of their quarantine entries there.
+	quarantineSyncInterval = 2 * time.Second
+	// maxQuarantinePause bounds that time while the store does not answer.
 	maxQuarantinePause = 8 * time.Second
-	// maxChanges is how many keys the store takes in one transaction.
+	// maxChanges is the number of keys that the store accepts in one transaction.
 	maxChanges = 32
-	// maxLogged bounds the requests that one line names.
-	maxLogged = 40
+	// maxLoggedRequests bounds the requests named in one log line.
+	maxLoggedRequests = 40
 )
 
-// Counters of ends and of what they led to.
+// Counters of crashes and of the resulting quarantine entries.
 var (
-	endedCount       = metrics.NewCounter("corianderhub_endpoints_ended_total")
+	crashCount       = metrics.NewCounter("corianderhub_endpoints_ended_total")
 	quarantinedCount = metrics.NewCounter("corianderhub_requests_quarantined_total")
 )
 
-// quarantineControl is the control state's part for requests that end servers.
+// quarantineControl is the part of the control state for requests that crash servers.
 type quarantineControl struct {
-	// tellings are what this daemon has seen, the oldest first.
-	tellings []telling
-	// stored are the requests that the store names.
+	// announcements are the events that this daemon has seen, oldest first.
+	announcements []announcement
+	// stored are the requests quarantined in the store.
 	stored map[quarantine.Fingerprint]bool
-	// due is when to look at the store next, pause the time between looks while it does
-	// not answer; looking is set while that goes on.
-	due     time.Time
-	pause   time.Duration
-	looking bool
-	// fetchedAt is when another daemon was last asked.
+	// nextSync is the time of the next synchronization with the store, pause the time
+	// between attempts while the store does not answer. syncing is set while a
+	// synchronization is in flight.
+	nextSync time.Time
+	pause    time.Duration
+	syncing  bool
+	// fetchedAt is when this daemon last fetched another daemon's entries.
 	fetchedAt time.Time
 }
 
-// telling is one thing that the others are told of, for some beats: an end, or an answer.
-type telling struct {
-	ended     *quarantine.End
-	answered  *quarantine.Answered
-	at, until time.Time
+// announcement is an event that is sent with some heartbeats: either a crash or a
+// completion. at is the time of the event, until the end of its announcement.
+type announcement struct {
+	crash      *quarantine.End
+	completion *quarantine.Answered
+	at, until  time.Time
 }
 
-// size is how many requests it names.
-func (te *telling) size() int {
-	if te.ended != nil {
-		return len(te.ended.Requests)
+// size returns the number of requests that the announcement names.
+func (te *announcement) size() int {
+	if te.crash != nil {
+		return len(te.crash.Requests)
 	}
 	return 1
 }
 
-// endedUnder takes in that this daemon has seen an endpoint end under requests.
-func (ct *control) endedUnder(endpoint string, requests []quarantine.Fingerprint) {
+// endpointCrashed records and announces that this daemon has seen an endpoint crash while
+// it processed the requests.
+func (ct *control) endpointCrashed(endpoint string, requests []quarantine.Fingerprint) {
 	now := ct.da.Clock.Now()
-	endedCount.Inc()
+	crashCount.Inc()
 	ct.da.Log.Info("control: endpoint ended under requests.", "endpoint", endpoint, "requests", len(requests),
-		"contents", requests[:min(maxLogged, len(requests))])
+		"contents", requests[:min(maxLoggedRequests, len(requests))])
 	en := quarantine.End{Endpoint: endpoint, AtMillis: now.UnixMilli(), Requests: requests}
-	ct.hearEnd(en, now)
-	ct.tell(telling{ended: &en, at: now})
-	ct.sendBeat(beatExtra{to: mesh.ToSteward})
+	ct.applyCrash(en, now)
+	ct.announce(announcement{crash: &en, at: now})
+	ct.sendHeartbeat(heartbeatExtra{to: mesh.ToSteward})
 }
 
-// answered takes in that a request was answered whole under which endpoints had ended.
-func (ct *control) answered(fp quarantine.Fingerprint) {
+// requestCompleted records and announces that a request completed under which endpoints had
+// crashed before.
+func (ct *control) requestCompleted(fp quarantine.Fingerprint) {
 	now := ct.da.Clock.Now()
 	an := quarantine.Answered{Request: fp, AtMillis: now.UnixMilli()}
 	ct.da.quarantine.Answered(an, now)
-	ct.tell(telling{answered: &an, at: now})
+	ct.announce(announcement{completion: &an, at: now})
 }
 
-// hearEnd takes in an end that this daemon or another one has seen.
-func (ct *control) hearEnd(en quarantine.End, now time.Time) {
-	ct.quarantined(ct.da.quarantine.Ended(en, now), "ends")
+// applyCrash applies a crash that this daemon or another one has seen.
+func (ct *control) applyCrash(en quarantine.End, now time.Time) {
+	ct.noteQuarantined(ct.da.quarantine.Ended(en, now), "ends")
 }
 
-// quarantined notes requests that are quarantined from now on.
-func (ct *control) quarantined(requests []quarantine.Fingerprint, from string) {
+// noteQuarantined counts and logs newly quarantined requests.
+func (ct *control) noteQuarantined(requests []quarantine.Fingerprint, from string) {
 	for _, fp := range requests {
 		quarantinedCount.Inc()
 		ct.da.Log.Warn("control: request quarantined.", "content", fp, "from", from)
-		// Whoever follows the store writes it there at once.
-		ct.quarantine.due = time.Time{}
+		// Daemons that follow the store write the entry immediately.
+		ct.quarantine.nextSync = time.Time{}
 	}
 }
 
-func (ct *control) tell(te telling) {
+// announce queues an event for the next heartbeats, dropping the oldest beyond
+// maxAnnouncements.
+func (ct *control) announce(te announcement) {
 	qc := &ct.quarantine
-	te.until = te.at.Add(ct.tellFor())
-	qc.tellings = append(qc.tellings, te)
-	if len(qc.tellings) > maxTellings {
-		qc.tellings = qc.tellings[len(qc.tellings)-maxTellings:]
+	te.until = te.at.Add(ct.announceFor())
+	qc.announcements = append(qc.announcements, te)
+	if len(qc.announcements) > maxAnnouncements {
+		qc.announcements = qc.announcements[len(qc.announcements)-maxAnnouncements:]
 	}
 }
 
-// tellFor is how long the others are told of something.
-func (ct *control) tellFor() time.Duration { return tellTimes * ct.da.mesh.ToldWithin() }
+// announceFor returns how long an event is announced to the other daemons.
+func (ct *control) announceFor() time.Duration { return announceRepeats * ct.da.mesh.ToldWithin() }
 
-// retell tells again what this daemon has seen, where daemons are many: nobody but the
-// steward counts the ends there, and a new one may not have heard of them.
-func (ct *control) retell(now time.Time) {
+// reannounce announces recent events again. In large deployments only the steward counts
+// crashes, and a new one may not have received them.
+func (ct *control) reannounce(now time.Time) {
 	if ct.da.mesh.Direct() {
 		return
 	}
-	for i := range ct.quarantine.tellings {
-		if te := &ct.quarantine.tellings[i]; now.Sub(te.at) < retellFor {
-			te.until = now.Add(ct.tellFor())
+	for i := range ct.quarantine.announcements {
+		if te := &ct.quarantine.announcements[i]; now.Sub(te.at) < maxReannounceAge {
+			te.until = now.Add(ct.announceFor())
 		}
 	}
 }
 
-// tellQuarantine adds to a beat what the others are to know of requests that end endpoints.
-func (ct *control) tellQuarantine(be *mesh.Beat, now time.Time) {
+// addQuarantine adds the quarantine digest and the current announcements to a heartbeat,
+// newest first, up to maxAnnouncedRequests.
+func (ct *control) addQuarantine(be *mesh.Beat, now time.Time) {
 	be.Quarantine = ct.da.quarantine.Digest(now)
-	told := 0
-	for _, te := range slices.Backward(ct.quarantine.tellings) {
+	total := 0
+	for _, te := range slices.Backward(ct.quarantine.announcements) {
 		if now.After(te.until) {
 			continue
 		}
-		if told += te.size(); told > maxTold {
+		if total += te.size(); total > maxAnnouncedRequests {
 			return
 		}
-		if te.ended != nil {
-			be.Ended = append(be.Ended, *te.ended)
+		if te.crash != nil {
+			be.Ended = append(be.Ended, *te.crash)
 		} else {
-			be.Answered = append(be.Answered, *te.answered)
+			be.Answered = append(be.Answered, *te.completion)
 		}
 	}
 }
 
-// hearQuarantine takes in what another daemon told of them. What it has quarantined and this
-// one has not is fetched.
-func (ct *control) hearQuarantine(be mesh.Beat, now time.Time) {
+// applyQuarantine applies the announcements in another daemon's heartbeat, and fetches its
+// entries if the digests differ.
+func (ct *control) applyQuarantine(be mesh.Beat, now time.Time) {
 	for _, en := range be.Ended {
-		ct.hearEnd(en, now)
+		ct.applyCrash(en, now)
 	}
 	for _, an := range be.Answered {
 		ct.da.quarantine.Answered(an, now)
@@ -178,30 +187,30 @@
 	ct.fetch("quarantine", func(ctx context.Context) func() {
 		entries, err := ct.da.peers.Quarantine(ctx, be.IP)
 		if err != nil {
-			ct.da.Log.Info("control: quarantine not fetched.", "from", be.Name, "cause", err.Error())
+			ct.da.Log.Info("control: fetching quarantine entries failed.", "from", be.Name, "cause", err.Error())
 			return nil
 		}
-		return func() { ct.quarantined(ct.da.quarantine.Merge(entries, ct.da.Clock.Now()), "daemon "+be.Name) }
+		return func() { ct.noteQuarantined(ct.da.quarantine.Merge(entries, ct.da.Clock.Now()), "daemon "+be.Name) }
 	})
 }
 
-// stepQuarantine keeps the store and this daemon in step about quarantined requests, while
-// it is one of those that follow the store.
+// stepQuarantine synchronizes the quarantine with the store while this daemon follows it.
 func (ct *control) stepQuarantine(now time.Time) {
 	qc := &ct.quarantine
-	few := ct.lease.core != nil || ct.deputy.Load() || ct.da.mesh.Direct()
-	if !ct.follows() || !few || qc.looking || now.Before(qc.due) {
+	syncs := ct.lease.core != nil || ct.deputy.Load() || ct.da.mesh.Direct()
+	if !ct.follows() || !syncs || qc.syncing || now.Before(qc.nextSync) {
 		return
 	}
-	qc.looking = true
+	qc.syncing = true
 	puts, deletes := ct.quarantineChanges(now)
-	ct.da.once(&ct.wg, func(ctx context.Context) {
+	ct.da.spawn(&ct.wg, func(ctx context.Context) {
 		items, err := ct.syncQuarantine(ctx, puts, deletes)
 		ct.post(func() { ct.quarantineSynced(items, err) })
 	})
 }
 
-// quarantineChanges returns what the store lacks, and what it names in vain.
+// quarantineChanges returns the entries that the store lacks, and those in the store that
+// are no longer quarantined.
 func (ct *control) quarantineChanges(now time.Time) (puts []quarantine.Entry, deletes []quarantine.Fingerprint) {
 	for fp := range ct.quarantine.stored {
 		if _, held := ct.da.quarantine.Held(fp, now); !held && len(deletes) < maxChanges {
@@ -216,13 +225,14 @@
 	return puts, deletes
 }
 
-// syncQuarantine writes what has changed and reads what the store names then.
+// syncQuarantine writes the changes to the store and returns the items that it holds
+// afterwards.
 func (ct *control) syncQuarantine(ctx context.Context, puts []quarantine.Entry, deletes []quarantine.Fingerprint) ([]platform.Item, error) {
 	var writes []platform.Put
 	for _, en := range puts {
 		raw, err := json.Marshal(en)
 		if err != nil {
-			return nil, eris.Wrap(err, "quarantine")
+			return nil, eris.Wrap(err, "encode quarantine entry")
 		}
 		writes = append(writes, platform.Put{Key: quarantinePrefix + en.Request.String(), Value: raw})
 	}
@@ -230,8 +240,9 @@
 	for _, fp := range deletes {
 		keys = append(keys, quarantinePrefix+fp.String())
 	}
-	// One transaction each, so that both fit. A write that is repeated, or takes effect late,
-	// writes what every daemon would write.
+	// Puts and deletes use separate transactions to stay within the limit of keys. A write
+	// that is repeated or takes effect late is harmless: every daemon would write the
+	// same.
 	if len(writes) > 0 {
 		if _, err := ct.da.store.Txn(ctx, nil, writes, nil); err != nil {
 			return nil, err
@@ -246,24 +257,24 @@
 	return items, err
 }
 
-// quarantineSynced takes in what came of a look at the store.
+// quarantineSynced handles the result of a synchronization with the store.
 func (ct *control) quarantineSynced(items []platform.Item, err error) {
 	qc := &ct.quarantine
-	qc.looking = false
+	qc.syncing = false
 	now := ct.da.Clock.Now()
 	if err != nil {
-		ct.da.Log.Info("control: quarantine not in step with the store.", "cause", err.Error())
-		qc.pause = min(maxQuarantinePause, max(quarantineEvery, 2*qc.pause))
-		qc.due = now.Add(qc.pause)
+		ct.da.Log.Info("control: synchronizing the quarantine with the store failed.", "cause", err.Error())
+		qc.pause = min(maxQuarantinePause, max(quarantineSyncInterval, 2*qc.pause))
+		qc.nextSync = now.Add(qc.pause)
 		return
 	}
 	qc.pause = 0
-	qc.due = now.Add(quarantineEvery)
+	qc.nextSync = now.Add(quarantineSyncInterval)
 	qc.stored = make(map[quarantine.Fingerprint]bool, len(items))
 	ct.readQuarantine(items)
 }
 
-// readQuarantine takes in what the store names.
+// readQuarantine applies quarantine entries read from the store.
 func (ct *control) readQuarantine(items []platform.Item) {
 	now := ct.da.Clock.Now()
 	if ct.quarantine.stored == nil {
@@ -274,16 +285,16 @@
 		if err := json.Unmarshal(it.Value, &en); err != nil || quarantinePrefix+en.Request.String() != it.Key {
 			if !ct.setAside[it.Key] && len(ct.setAside) < maxSetAside {
 				ct.setAside[it.Key] = true
-				ct.da.Log.Warn("control: quarantine entry set aside.", "key", it.Key, "revision", it.Revision)
+				ct.da.Log.Warn("control: invalid quarantine entry ignored.", "key", it.Key, "revision", it.Revision)
 			}
 			continue
 		}
 		ct.quarantine.stored[en.Request] = true
-		ct.quarantined(ct.da.quarantine.Merge([]quarantine.Entry{en}, now), fromStore)
+		ct.noteQuarantined(ct.da.quarantine.Merge([]quarantine.Entry{en}, now), fromStore)
 	}
 }
 
-// splitKeys parts the project's own items of the store into daemons and quarantined requests.
+// splitKeys splits the project's items in the store into daemons and quarantined requests.
 func splitKeys(items []platform.Item) (daemons, quarantined []platform.Item) {
 	for _, it := range items {
 		switch {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -18,60 +18,61 @@
 )
 
 const (
-	// crashing is the path of a request that ends each server that begins to run it.
-	crashing = "/draft/crash-"
-	// endsUntilKnown is how many servers a request must have ended to be known for it.
-	endsUntilKnown = 3
-	// laterEnds is how many servers more may end under it after that.
-	laterEnds = 3
+	// crashPath is the path of a request that crashes each server that begins to process
+	// it.
+	crashPath = "/draft/crash-"
+	// crashesUntilQuarantine is the number of crashes after which a request is
+	// quarantined.
+	crashesUntilQuarantine = 3
+	// extraCrashes is the number of further crashes allowed after that.
+	extraCrashes = 3
 )
 
-// crashes makes model servers end under the request that ends them.
-func (sk *stack) crashes() {
+// crashOnRequest makes model servers crash when they process a request with crashPath.
+func (sk *stack) crashOnRequest() {
 	sk.de.BackAfter = 300 * time.Millisecond
 	sk.de.SetModelFault(func(req *http.Request) emulator.Fault {
-		if strings.HasPrefix(req.URL.Path, crashing) {
+		if strings.HasPrefix(req.URL.Path, crashPath) {
 			return emulator.Ends
 		}
 		return emulator.None
 	})
 }
 
-// sendCrashing lets a caller come with it some times, to one daemon after the other, each
-// time as soon as there is a group that could run it.
+// sendCrashing sends the request the given number of times, to one daemon after the other,
+// each time as soon as a group serves that could process it.
 func (sk *stack) sendCrashing(times int) {
 	for num := range times {
 		ru := sk.daemons[num%len(sk.daemons)]
 		sk.until("a group serves", func() bool {
 			id := fmt.Sprint("sound-", num, "-", time.Now().UnixNano())
-			return sk.ask(ru, "/draft/", id) == wholeStream(id)
+			return sk.ask(ru, "/draft/", id) == completeStream(id)
 		})
-		sk.ask(ru, crashing, fmt.Sprint("crash-", num, "-", time.Now().UnixNano()))
+		sk.ask(ru, crashPath, fmt.Sprint("crash-", num, "-", time.Now().UnixNano()))
 	}
 }
 
-// Callers of all kinds are refused for seconds, since the fleet is short of groups. A caller
-// has sent one request again and again, under a new identifier each time and to all daemons,
-// and each server that began to run it has ended: up to three with each attempt. Daemons kept
-// what they learnt of a request with the attempt, so that nobody knew it again. What proved
-// it: servers end here under this request only, and no more do once its content is remembered.
-func TestRequestThatEndsServers(t *testing.T) {
+// Guards against a request that crashes servers again and again, up to three per attempt,
+// when its caller sends it under a new ID each time and to all daemons. Crashes must be
+// recorded by content rather than by attempt. In this test servers crash under this request
+// only, so the number of crashes shows whether the content was recognized.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	sk := newStack(t, 3)
-	sk.crashes()
+	sk.crashOnRequest()
 	sk.sendCrashing(12)
-	if num := sk.de.Ended(); num < endsUntilKnown || num > endsUntilKnown+laterEnds {
-		t.Errorf("%d servers ended under one request", num)
+	if num := sk.de.Ended(); num < crashesUntilQuarantine || num > crashesUntilQuarantine+extraCrashes {
+		t.Errorf("%d servers crashed under one request", num)
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// Servers have ended under a request, and then all daemons lose power. Those that start know
-// nothing of it but what the store says, and must send it to no server more.
+// Guards against losing the quarantine when all daemons lose power. The restarted daemons
+// know a quarantined request only from the store, and must not send it to any server.
 func TestQuarantineOutlastsDaemons(t *testing.T) {
 	sk := newStack(t, 2)
-	sk.crashes()
+	sk.crashOnRequest()
 	sk.sendCrashing(4)
-	sk.until("the request is quarantined at the store", func() bool { return len(sk.quarantinedAtStore()) == 1 })
+	sk.until("the request is quarantined in the store", func() bool { return len(sk.storedQuarantineKeys()) == 1 })
 	for _, ru := range sk.daemons {
 		sk.kill(ru)
 	}
@@ -81,12 +82,12 @@
 	before := sk.de.Ended()
 	sk.sendCrashing(4)
 	if num := sk.de.Ended() - before; num > 0 {
-		t.Errorf("%d servers ended more", num)
+		t.Errorf("%d more servers crashed, want none", num)
 	}
 }
 
-// quarantinedAtStore returns the keys of the requests that the store names.
-func (sk *stack) quarantinedAtStore() []string {
+// storedQuarantineKeys returns the keys of the quarantined requests in the store.
+func (sk *stack) storedQuarantineKeys() []string {
 	st := platform.NewStore(sk.daemons[0].da.Settings.Store.Address, storeTimeout)
 	items, _, err := st.Range(sk.ctx, quarantinePrefix)
 	if err != nil {
@@ -99,27 +100,28 @@
 	return keys
 }
 
-// The store is away while servers end under a request. All daemons must refuse it all the
-// same, and the store must name it once it is back.
-func TestQuarantineWhileStoreAway(t *testing.T) {
+// Guards against a quarantine that depends on the store. If the store is unavailable while
+// servers crash, all daemons must still refuse the request, and the store must contain it
+// after the outage.
+func TestQuarantineWhileStoreUnavailable(t *testing.T) {
 	sk := newStack(t, 3)
-	sk.crashes()
-	sk.setStore(emulator.Silent)
-	sk.until("quarantined by the daemon that is asked", func() bool {
-		sk.ask(sk.daemons[0], crashing, fmt.Sprint("crash-", time.Now().UnixNano()))
+	sk.crashOnRequest()
+	sk.setStoreFault(emulator.Silent)
+	sk.until("quarantined by the daemon that gets the request", func() bool {
+		sk.ask(sk.daemons[0], crashPath, fmt.Sprint("crash-", time.Now().UnixNano()))
 		return sk.daemons[0].da.quarantine.Digest(time.Now()) != 0
 	})
 	for _, ru := range sk.daemons[1:] {
 		sk.until("quarantined by the others", func() bool { return ru.da.quarantine.Digest(time.Now()) != 0 })
 	}
-	sk.setStore(emulator.Sound)
-	sk.until("the store names it", func() bool { return len(sk.quarantinedAtStore()) == 1 })
+	sk.setStoreFault(emulator.Sound)
+	sk.until("the store contains it", func() bool { return len(sk.storedQuarantineKeys()) == 1 })
 }
 
-// An endpoint breaks its answers off and goes on. That is no end, and the requests must be
-// served by it still: they would be refused for a day.
-func TestBrokenAnswerIsNoEnd(t *testing.T) {
-	ct, _ := newLoneControl(800)
+// Guards against quarantining requests, for a day, because an endpoint truncated its
+// answers without crashing.
+func TestBrokenAnswerIsNoCrash(t *testing.T) {
+	ct, _ := newTestControl(800)
 	ct.da.front, ct.da.table, ct.da.plain = &front.Server{}, &dispatch.Table{}, &dispatch.Plain{}
 	ct.da.Clock = clock.System{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -132,44 +134,45 @@
 		other.Close()
 	}
 	defer ln.Close()
-	for i := range endsUntilKnown {
+	for i := range crashesUntilQuarantine {
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.brokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.handleBrokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
 			_, held := ct.da.quarantine.Held(fp, time.Now())
-			if want := at.content == "crash" && i == endsUntilKnown-1; held != want {
-				t.Errorf("%s, time %d: held %v, want %v", at.content, i+1, held, want)
+			if want := at.content == "crash" && i == crashesUntilQuarantine-1; held != want {
+				t.Errorf("%s, attempt %d: quarantined %v, want %v", at.content, i+1, held, want)
 			}
 		}
 	}
 }
 
-// Many daemons: each sees one end of a server under the request, and tells the steward alone.
-// The steward dies, and the next one has heard of none. It must be told of them again.
-func TestNewStewardIsToldOfEnds(t *testing.T) {
-	ct, cl := newLoneControl(192)
+// Guards against crashes that a new steward does not know of. In a large deployment each
+// daemon sees one crash and announces it to the steward only, so it must announce it again
+// to the next steward.
+func TestCrashesAreReannouncedToNewSteward(t *testing.T) {
+	ct, cl := newTestControl(192)
 	for i := range 39 {
 		ct.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
 	}
 	fp := quarantine.Fingerprint{1}
-	ct.tell(telling{ended: &quarantine.End{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
-	told := func() int {
+	ct.announce(announcement{crash: &quarantine.End{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
+	announced := func() int {
 		var be mesh.Beat
-		ct.tellQuarantine(&be, cl.Now())
+		ct.addQuarantine(&be, cl.Now())
 		return len(be.Ended)
 	}
-	if told() != 1 {
-		t.Fatal("an end is not told of")
+	if announced() != 1 {
+		t.Fatal("a crash is not announced")
 	}
 	cl.Advance(time.Minute)
-	if told() != 0 {
-		t.Fatal("an end is told of for ever")
+	if announced() != 0 {
+		t.Fatal("a crash is announced indefinitely")
 	}
-	ct.retell(cl.Now())
-	if told() != 1 {
-		t.Error("a new steward is not told of an end")
+	ct.reannounce(cl.Now())
+	if announced() != 1 {
+		t.Error("a crash is not announced to a new steward")
 	}
 }
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -6,9 +6,10 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// Guards against a rest that only the daemon knows which was turned away, where daemons are many
-// and tell the steward alone, or where one has just started.
-func TestRestAmongManyDaemons(t *testing.T) {
-	sk := newCrowd(t)
-	sk.untilAllLeaveItToFew(sk.de.IDs("desk")[0], emulator.Need{Sheds: true, Rest: "60"})
+// Guards against a Retry-After that is applied only by the daemon that received it, in a
+// large deployment, where notices are relayed by the steward, or after a daemon has just
+// started.
+func TestRetryAfterAmongManyDaemons(t *testing.T) {
+	sk := newLargeStack(t)
+	sk.untilAllRestrict(sk.de.IDs("desk")[0], emulator.Need{Sheds: true, Rest: "60"})
 }
