--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -8,102 +8,104 @@
 	"corianderhub.dev/corianderhub/internal/mesh"
 )
 
-// probeTries is how often a member is asked before it counts as lost; one
-// packet may be lost.
-const probeTries = 2
+// probeAttempts is how often a member is probed before it counts as lost, since a packet
+// may be lost.
+const probeAttempts = 2
 
-// probeTimeout bounds a question to a member, which takes some 3 ms.
+// probeTimeout bounds a probe of a member, which normally takes about 3 ms.
 const probeTimeout = 120 * time.Millisecond
 
-// stepStalls looks for groups whose streams stand still and tells the steward.
-// It asks their members itself where daemons are few, or while no steward is
-// heard. Where 68 daemons all did so, each pause of a loaded group made over
-// 1,000 questions, and small machines were too late for the answers.
+// stepStalls detects groups whose streams have stalled and reports them to the steward. The
+// daemon probes their members itself only in small deployments or without a steward. When
+// all of 68 daemons did so, each pause of a loaded group caused over 1,000 probes, and
+// small machines could not process the answers in time.
 func (ct *control) stepStalls(now time.Time) {
-	ct.tellAdvancing(now)
+	ct.reportProgress(now)
 	stalled := ct.da.table.Stalled(now)
 	if len(stalled) == 0 {
 		return
 	}
 	direct := ct.da.mesh.Direct()
-	ownProbe := direct || ct.lease.core == nil && now.Sub(ct.heard) > manyStewardLate
-	var suspects []mesh.Suspect
+	ownProbe := direct || ct.lease.core == nil && now.Sub(ct.lastStewardHeartbeat) > stewardLateAfter
+	var stallReports []mesh.Suspect
 	for _, gr := range stalled {
 		ct.da.Log.Info("control: group stands still.", "group", gr.Name, "epoch", gr.Epoch)
-		suspects = append(suspects, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+		stallReports = append(stallReports, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
 			ct.lease.core.Suspect(gr.Name, gr.Epoch, true, now)
 		}
 		if ownProbe && (direct || ct.probing < maxProbes) {
 			ct.probing++
-			ct.da.once(&ct.wg, func(ctx context.Context) {
+			ct.da.spawn(&ct.wg, func(ctx context.Context) {
 				ct.probe(ctx, gr)
 				ct.post(func() { ct.probing-- })
 			})
 		}
 	}
-	ct.sendBeat(beatExtra{suspects: suspects, to: mesh.ToSteward})
+	ct.sendHeartbeat(heartbeatExtra{stallReports: stallReports, to: mesh.ToSteward})
 	if ct.lease.core != nil {
 		ct.stepSteward(now)
 	}
 }
 
-// tellAdvancing tells the steward of groups that this daemon had found standing still
-// and whose streams go on: all their members are alive, whoever leaves a question
+// reportProgress reports groups to the steward that this daemon had reported as stalled and
+// whose streams advance again. All their members are alive, even if one leaves a poll
 // unanswered.
-func (ct *control) tellAdvancing(now time.Time) {
-	var groups []mesh.Suspect
+func (ct *control) reportProgress(now time.Time) {
+	var progressReports []mesh.Suspect
 	for _, gr := range ct.da.table.Advancing() {
-		groups = append(groups, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+		progressReports = append(progressReports, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
 			ct.lease.core.Advances(gr.Name, gr.Epoch, now)
 		}
 	}
-	if len(groups) > 0 && ct.lease.core == nil {
-		ct.sendBeat(beatExtra{advancing: groups, to: mesh.ToSteward})
+	if len(progressReports) > 0 && ct.lease.core == nil {
+		ct.sendHeartbeat(heartbeatExtra{progressReports: progressReports, to: mesh.ToSteward})
 	}
 }
 
 const (
-	// manyStewardLate is the silence of the steward from which a daemon of many does
-	// not rely on it for an answer: some four beats.
-	manyStewardLate = 800 * time.Millisecond
-	// maxProbes bounds the groups whose members a daemon of many asks at a time: in 8 s
-	// without a steward 195 daemons made 65,000 questions to groups of up to 32.
+	// stewardLateAfter is the time since the steward's last heartbeat, about four
+	// intervals, after which a daemon in a large deployment probes stalled groups itself.
+	stewardLateAfter = 800 * time.Millisecond
+	// maxProbes bounds the groups that a daemon in a large deployment probes concurrently:
+	// in 8 s without a steward, 195 daemons sent 65,000 probes to groups of up to 32
+	// members.
 	maxProbes = 2
 )
 
-// soundGroups are groups that the steward has found sound after they had been
-// suspected, until when the others are told.
-type soundGroups map[mesh.Suspect]time.Time
+// healthyGroups are groups that the steward found healthy after a stall report, with the
+// end of their announcement.
+type healthyGroups map[mesh.Suspect]time.Time
 
-// tellSound is how long the others are told; a beat or two may be lost. It is
-// less than checkAgain in package dispatch, so that a group that is suspected
-// anew is not cleared by an old answer.
-const tellSound = 350 * time.Millisecond
+// announceHealthyFor is how long a group is announced as healthy, since a heartbeat or two
+// may be lost. It is less than checkAgain in package dispatch, so that an old announcement
+// does not clear a new stall report.
+const announceHealthyFor = 350 * time.Millisecond
 
-func (sg soundGroups) note(su mesh.Suspect, now time.Time) { sg[su] = now.Add(tellSound) }
+// add announces a group as healthy for announceHealthyFor.
+func (sg healthyGroups) add(su mesh.Suspect, now time.Time) { sg[su] = now.Add(announceHealthyFor) }
 
-// lately returns the groups to tell of and forgets old ones.
-func (sg soundGroups) lately(now time.Time) []mesh.Suspect {
-	var lately []mesh.Suspect
+// recent returns the groups to announce and removes expired ones.
+func (sg healthyGroups) recent(now time.Time) []mesh.Suspect {
+	var recent []mesh.Suspect
 	for su, until := range sg {
 		if now.After(until) {
 			delete(sg, su)
 			continue
 		}
-		lately = append(lately, su)
+		recent = append(recent, su)
 	}
-	return lately
+	return recent
 }
 
-// probe asks all members of a group. One that does not answer is lost, and the
-// group's requests go on elsewhere.
+// probe probes all members of a group. If one does not respond, the group is marked as
+// broken and its requests are retried elsewhere.
 func (ct *control) probe(ctx context.Context, gr catalog.Group) {
 	lost := make(chan string, len(gr.Members))
 	for _, me := range gr.Members {
 		go func() {
-			if ct.answers(ctx, gr, me) {
+			if ct.memberResponds(ctx, gr, me) {
 				lost <- ""
 				return
 			}
@@ -120,17 +122,17 @@
 	ct.da.table.Sound(gr.Name)
 }
 
-// answers tells whether a member is there and still belongs to the group.
-func (ct *control) answers(ctx context.Context, gr catalog.Group, me catalog.Member) bool {
-	for tries := 0; tries < probeTries; tries++ {
-		asked := ct.da.Clock.Now()
+// memberResponds reports whether a member is alive and still belongs to the group.
+func (ct *control) memberResponds(ctx context.Context, gr catalog.Group, me catalog.Member) bool {
+	for tries := 0; tries < probeAttempts; tries++ {
+		sentAt := ct.da.Clock.Now()
 		re, err := ct.da.report(ctx, me.ID, me.Address, probeTimeout, true)
 		if err == nil {
 			return re.Member != nil && re.Member.Group == gr.Name && re.Member.Epoch == gr.Epoch && re.Member.State != catalog.Broken
 		}
-		if ct.lateSince(asked) {
-			// What this machine was too late for says nothing of the member. The
-			// group is asked about again if it goes on standing still.
+		if ct.lateSince(sentAt) {
+			// The timeout proves nothing if this machine ran late. The group is probed
+			// again if it stays stalled.
 			return true
 		}
 	}
--- a/internal/entry/steward_test.go
+++ b/internal/entry/steward_test.go
@@ -7,9 +7,9 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// The steward dies. Another daemon takes over once the lease has run out, or
-// at once when a new process runs at the old one's address, and takes no group
-// apart.
+// Guards against a failed takeover. When the steward is killed, another daemon must take
+// over once the lease has expired, or immediately if a new process runs at the old address,
+// and must not dissolve any group.
 func TestStewardDies(t *testing.T) {
 	sk := newStack(t, 3)
 	before := len(sk.daemons[0].da.view.Load().Groups)
@@ -17,19 +17,19 @@
 	sk.kill(old)
 	next := sk.steward()
 	if next == old {
-		t.Fatal("the killed daemon is steward still")
+		t.Fatal("the killed daemon is still steward")
 	}
 	if got := len(next.da.view.Load().Groups); got != before {
-		t.Errorf("%d groups after the change, %d before", got, before)
+		t.Errorf("%d groups after the change of steward, %d before", got, before)
 	}
-	if got := sk.ask(next, "/draft/", "after"); got != wholeStream("after") {
-		t.Errorf("after the change: %q", got)
+	if got := sk.ask(next, "/draft/", "after"); got != completeStream("after") {
+		t.Errorf("after the change of steward: got %q", got)
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// All daemons lose power at once. The groups stand as they were; the new
-// daemons learn of them and serve, without a load.
+// Guards against loading weights again after all daemons lose power. The new daemons must
+// adopt the existing groups and serve without a load.
 func TestAllDaemonsLost(t *testing.T) {
 	sk := newStack(t, 3)
 	sk.de.Fleet.InitialLoads = false
@@ -40,57 +40,58 @@
 		sk.start(num)
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
+		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
 	}
 	if loads := len(sk.de.Fleet.Loads()); loads != 0 {
-		t.Errorf("%d loads from the weight store", loads)
+		t.Errorf("%d loads from the weight store, want none", loads)
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// Writes take effect and their answers are lost. A daemon that takes the lease
-// so finds out, and somebody is steward in the end.
+// Guards against a lease that nobody holds after writes took effect but their responses
+// were lost. A daemon that acquired the lease this way must detect it, and some daemon must
+// become steward.
 func TestLostAnswersOfStore(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	sk.setStore(emulator.LosesAnswers)
+	sk.setStoreFault(emulator.LosesAnswers)
 	sk.kill(old)
 	time.Sleep(100 * time.Millisecond)
-	sk.setStore(emulator.Sound)
+	sk.setStoreFault(emulator.Sound)
 	if next := sk.steward(); next == old {
-		t.Error("the killed daemon is steward still")
+		t.Error("the killed daemon is still steward")
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// The store is away for longer than a lease lasts, and a group loses a member
-// meanwhile. The steward goes on, since no other daemon can take its place, and
-// the group is formed anew.
-func TestRepairWhileStoreAway(t *testing.T) {
+// Guards against a steward that stops while the store is unavailable for longer than a
+// lease lasts. No other daemon can take its place, so it must continue and repair a group
+// that loses a member.
+func TestRepairWhileStoreUnavailable(t *testing.T) {
 	sk := newStack(t, 3)
 	st := sk.steward()
-	sk.setStore(emulator.Busy)
+	sk.setStoreFault(emulator.Busy)
 	sk.de.Store.EndLeases()
 	time.Sleep(leaseTTL + time.Second)
 	lost := sk.loseMember(st)
-	sk.untilNoticed(st, lost)
+	sk.untilUnused(st, lost)
 	if sk.steward() != st {
-		t.Error("the steward changed while the store was away")
+		t.Error("the steward changed while the store was unavailable")
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
+		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
 		ru.gate.SetFault(emulator.Sound)
 	}
 	sk.until("the lease is held again", func() bool {
 		_, ok := sk.de.Store.Value(stewardKey)
 		return ok
 	})
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// A steward that the others can't hear must stop when its lease runs out: one
-// of them will take its place.
-func TestSilentStewardStops(t *testing.T) {
+// Guards against two stewards. A steward whose heartbeats do not reach the others must stop
+// when its lease expires, since one of them takes over.
+func TestUnreachableStewardStops(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
 	old.gate.SetFault(emulator.Silent)
@@ -99,27 +100,27 @@
 	is := make(chan bool, 1)
 	old.da.control.post(func() { is <- old.da.control.lease.core != nil })
 	if <-is {
-		t.Error("two daemons are steward at once")
+		t.Error("two daemons are steward at the same time")
 	}
-	sk.checkPromises()
+	sk.checkInvariants()
 }
 
-// The steward is told to stop while the store is away, and a group loses a
-// member. Its process goes on for seconds to finish its requests. Callers would
-// wait for the store's return if it gave its lease back at once, since nobody can
-// take it: it repairs the group, and gives the lease back once the store answers.
-func TestStewardStopsWhileStoreAway(t *testing.T) {
+// Guards against unrepaired groups when the steward is stopped while the store is
+// unavailable. Its process continues for seconds to finish its requests, and nobody could
+// acquire a released lease, so it must repair a group that loses a member and release the
+// lease once the store answers.
+func TestStewardStopsWhileStoreUnavailable(t *testing.T) {
 	sk := newStack(t, 3)
 	st := sk.steward()
-	sk.setStore(emulator.Busy)
+	sk.setStoreFault(emulator.Busy)
 	st.da.stopping.Store(true)
 	st.da.control.post(st.da.control.leave)
 	lost := sk.loseMember(st)
-	sk.untilNoticed(st, lost)
+	sk.untilUnused(st, lost)
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
+		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
 	}
-	sk.setStore(emulator.Sound)
+	sk.setStoreFault(emulator.Sound)
 	sk.until("another steward", func() bool { return sk.steward() != st })
-	sk.checkPromises()
+	sk.checkInvariants()
 }
--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -11,13 +11,12 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// A user complains, and the engineers on call have the request's identifier and
-// the daemons' logs. For a fault that was injected, the story told from the logs
-// must name it.
+// Guards against a story that does not explain a failure. For an injected fault, the story
+// built from the request ID and the daemons' logs must name the cause.
 func TestStoryNamesCause(t *testing.T) {
 	tests := []struct {
 		name string
-		// fail makes the request fail and returns what the story must contain.
+		// fail makes the request fail and returns the texts that the story must contain.
 		fail func(sk *stack, id string) []string
 	}{
 		{"refused since a group's members were lost", func(sk *stack, id string) []string {
@@ -31,7 +30,7 @@
 				return sk.members(sk.daemons[0]) == 0 && strings.Contains(last, " serving=0 ")
 			})
 			if got := sk.ask(sk.daemons[0], "/draft/", id); got != "status 503" {
-				sk.t.Fatalf("answer %q", got)
+				sk.t.Fatalf("got answer %q", got)
 			}
 			return []string{"end: refused, no-group", "steward counted 0 groups that served"}
 		}},
@@ -44,8 +43,8 @@
 					return emulator.None
 				})
 			}
-			if got := sk.ask(sk.daemons[0], "/draft/", id); got == wholeStream(id) {
-				sk.t.Fatal("the stream is whole")
+			if got := sk.ask(sk.daemons[0], "/draft/", id); got == completeStream(id) {
+				sk.t.Fatal("the stream is complete despite the fault")
 			}
 			return []string{"end: broken", "an attempt failed: "}
 		}},
@@ -59,7 +58,7 @@
 				})
 			}
 			if got := sk.ask(sk.daemons[0], "/confirm/", id); got != "status 502" {
-				sk.t.Fatalf("answer %q", got)
+				sk.t.Fatalf("got answer %q", got)
 			}
 			return []string{"end: refused, answer-lost", "an attempt failed: may-have-run"}
 		}},
@@ -69,25 +68,25 @@
 			sk := newStack(t, 2)
 			const id = "complaint"
 			want := tc.fail(sk, id)
-			var told bytes.Buffer
-			sk.until("the story names the cause", func() bool {
+			var output bytes.Buffer
+			sk.until("the story contains the cause", func() bool {
 				lines, skipped, err := story.Read("log", strings.NewReader(sk.log.String()))
 				if err != nil || skipped > 0 {
-					t.Fatalf("%d lines passed over, error %v", skipped, err)
+					t.Fatalf("%d lines skipped, error %v", skipped, err)
 				}
 				story.Sort(lines)
-				told.Reset()
-				if err := story.Print(&told, story.OfRequest(lines, id), id); err != nil {
+				output.Reset()
+				if err := story.Print(&output, story.OfRequest(lines, id), id); err != nil {
 					t.Fatal(err)
 				}
 				for _, text := range want {
-					if !strings.Contains(told.String(), text) {
+					if !strings.Contains(output.String(), text) {
 						return false
 					}
 				}
 				return true
 			})
-			t.Log(told.String())
+			t.Log(output.String())
 		})
 	}
 }
--- a/internal/entry/totals.go
+++ b/internal/entry/totals.go
@@ -8,23 +8,22 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// totalsEvery is the interval of the log line with a process's totals, for
-// whoever has the log and not the metrics.
-const totalsEvery = 10 * time.Second
+// totalsInterval is the interval of the log line with the process's totals, which serves
+// readers of the log without access to the metrics.
+const totalsInterval = 10 * time.Second
 
-// logTotals writes what the process has done so far: its counters that are not
-// zero. A line a process in ten seconds is nothing beside its requests.
+// logTotals logs the process's nonzero counters.
 func (ct *control) logTotals(now time.Time) {
-	if now.Before(ct.totalsDue) {
+	if now.Before(ct.nextTotals) {
 		return
 	}
-	ct.totalsDue = now.Add(totalsEvery)
+	ct.nextTotals = now.Add(totalsInterval)
 	ct.da.Log.Info("control: totals.", append([]any{"age-ms", ct.age(now).Milliseconds(),
-		"uptime-s", int(now.Sub(ct.begun).Seconds())}, counters()...)...)
+		"uptime-s", int(now.Sub(ct.startedAt).Seconds())}, counters()...)...)
 }
 
-// counters returns the names and values of the project's counters that are not
-// zero, as attributes of a log line.
+// counters returns the names and values of the project's nonzero counters as attributes of
+// a log line.
 func counters() []any {
 	names := metrics.ListMetricNames()
 	sort.Strings(names)
@@ -41,5 +40,5 @@
 	return attrs
 }
 
-// attrName makes the name of an attribute of that of a metric.
+// attrName converts the name of a metric to that of an attribute.
 var attrName = strings.NewReplacer("_total", "", "_", "-", `{`, ".", `}`, "", `"`, "", "=", "-", ",", ".", " ", "-")
