--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -221,7 +221,7 @@
 
 // attempt sends the request to a group and returns nil once it is answered.
 func (se *Server) attempt(ctx context.Context, co *completion, gr *route.Group) *verdict.Error {
-	co.rq.Except = append(co.rq.Except, gr)
+	co.rq.Exclude = append(co.rq.Exclude, gr)
 	err := se.send(ctx, co, gr)
 	if err == nil {
 		return nil
@@ -239,7 +239,7 @@
 		if gr := co.pool.router.Pick(co.rq); gr != nil {
 			return gr
 		}
-		co.rq.Except = nil
+		co.rq.Exclude = nil
 		if gr := co.pool.router.Pick(co.rq); gr != nil {
 			return gr
 		}
@@ -265,15 +265,15 @@
 	co.pool.router.Remember(co.rq, gr)
 	co.ex.record.attempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: "picked", Load: gr.Load()})
 	at := &delivery{se: se, co: co, gr: gr, target: ta, sentAt: se.Clock.Now()}
-	return se.Engines.Complete(ctx, endpoint.Completion{
-		RequestID: co.ex.id,
-		Address:   ta.Address,
-		Group:     ta.Group.ID,
-		Fence:     ta.Group.Fence,
-		Path:      co.ex.req.URL.Path,
-		Body:      body,
-		Stall:     se.Stall,
-		Before:    at.permitted,
+	return se.Engines.Complete(ctx, endpoint.CompletionRequest{
+		RequestID:    co.ex.id,
+		Address:      ta.Address,
+		Group:        ta.Group.ID,
+		Fence:        ta.Group.Fence,
+		Path:         co.ex.req.URL.Path,
+		Body:         body,
+		StallTimeout: se.Stall,
+		BeforeSend:   at.permitted,
 	}, at.chunk)
 }
 
@@ -307,13 +307,13 @@
 	now := de.se.Clock.Now()
 	co := de.co
 	if de.last.IsZero() {
-		de.se.Control.Post(control.Answered{Group: de.target.Group.ID, Fence: de.target.Group.Fence,
+		de.se.Control.Post(control.ResponseStarted{Group: de.target.Group.ID, Fence: de.target.Group.Fence,
 			Leader: de.target.Permit.Leader, SentAt: de.sentAt})
 		if co.count == 0 {
 			firstToken.Update(now.Sub(co.ex.record.Begin).Seconds())
 		}
 	} else if ch.Text != "" {
-		de.gr.Token(now.Sub(de.last))
+		de.gr.RecordTokenGap(now.Sub(de.last))
 	}
 	de.last = now
 	if len(ch.Usage) > 0 && string(ch.Usage) != "null" {
@@ -324,10 +324,10 @@
 		co.count++
 		co.sent.WriteString(ch.Text)
 	}
-	if ch.Finish != "" {
-		co.finish = ch.Finish
+	if ch.FinishReason != "" {
+		co.finish = ch.FinishReason
 	}
-	if ch.Text == "" && ch.Finish == "" {
+	if ch.Text == "" && ch.FinishReason == "" {
 		return nil
 	}
 	return co.out.chunk(ch)
--- a/internal/caller/pools.go
+++ b/internal/caller/pools.go
@@ -46,7 +46,7 @@
 			ReportedAt: ta.Permit.At,
 			Requests:   ta.Permit.Load.Requests,
 			Capacity:   mo.CapacityTokens,
-			Near:       ta.Near,
+			Near:       ta.Local,
 		})
 	}
 	for name := range vi.Config.Models {
@@ -86,7 +86,7 @@
 	for _, gr := range groups {
 		part := gr.Capacity() / int64(daemons)
 		free := max(0, gr.Capacity()-gr.Load())
-		total += max(part, gr.Open()+free/int64(daemons))
+		total += max(part, gr.OpenTokens()+free/int64(daemons))
 	}
 	return total
 }
--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -144,22 +144,22 @@
 }
 
 func (si *sim) send(da *simDaemon) {
-	if !da.reg.Takes(limitedLife, si.now()) {
+	if !da.reg.Accepts(limitedLife, si.now()) {
 		return
 	}
-	da.reg.Sent(limitedLife, si.now())
+	da.reg.RecordSent(limitedLife, si.now())
 	si.all++
 	if da.counts(si.at) {
 		si.arrivals = append(si.arrivals, si.at)
 	}
 	if si.sheds != nil && si.rd.Float64() < si.sheds(si.at) {
 		si.refused++
-		si.after(refuseTime, func() { da.reg.SetRest(limitedLife, rest, si.now()) })
+		si.after(refuseTime, func() { da.reg.SetRetryAfter(limitedLife, rest, si.now()) })
 		return
 	}
 	reg, sent, limit := da.reg, si.now(), si.limit(si.at)
 	si.after(answerTime, func() {
-		reg.SetTaken(limitedLife, sent, si.now())
+		reg.SetAccepted(limitedLife, sent, si.now())
 		reg.SetLimit(limitedLife, limit, sent, si.now())
 		if limit.Named && reg == da.reg && da.answered == 0 {
 			da.answered = si.at
@@ -170,14 +170,14 @@
 // tell passes on what daemons have to tell. They tell everyone, as a steward does.
 func (si *sim) tell() {
 	for _, da := range si.daemons {
-		words := da.reg.Tell(si.now(), beatEvery, false)
+		words := da.reg.PendingNotices(si.now(), beatEvery, false)
 		if len(words) == 0 || da.cut || da.away {
 			continue
 		}
 		si.after(told, func() {
 			for _, other := range si.daemons {
 				if other != da && !other.cut && !other.away {
-					other.reg.Hear(words, si.now())
+					other.reg.ApplyNotices(words, si.now())
 				}
 			}
 		})
@@ -334,22 +334,22 @@
 			re.SetLimit(limitedLife, none, after(-time.Second), after(2*time.Second))
 		}, true},
 		{"another daemon's newer word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedLife, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
 		}, false},
 		{"another daemon's older word", func(re *Register) {
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedLife, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
 		}, true},
 		{"another daemon's word that says nothing of a limit", func(re *Register) {
 			other := &Register{}
-			other.SetRest(limitedLife, 3*time.Second, after(time.Second))
-			re.Hear(other.Known(after(time.Second)), after(time.Second))
+			other.SetRetryAfter(limitedLife, 3*time.Second, after(time.Second))
+			re.ApplyNotices(other.Notices(after(time.Second)), after(time.Second))
 			other.SetLeaving(limitedLife, after(time.Second))
-			re.Hear(other.Known(after(2*time.Second)), after(2*time.Second))
+			re.ApplyNotices(other.Notices(after(2*time.Second)), after(2*time.Second))
 		}, true},
 		{"the process starts anew", func(re *Register) { re.SetLimit(next, none, after(time.Second), after(2*time.Second)) }, false},
 		{"a word of its earlier life", func(re *Register) {
 			re.SetLimit(next, limit, after(time.Second), after(2*time.Second))
-			re.Hear([]Word{{Life: limitedLife, Limit: none, LimitAge: 1}}, after(3*time.Second))
+			re.ApplyNotices([]Notice{{Instance: limitedLife, Limit: none, LimitAge: 1}}, after(3*time.Second))
 		}, true},
 		{"not repeated for long", func(re *Register) { re.Sweep(after(forgetAfter + time.Second)) }, false},
 	}
@@ -383,31 +383,31 @@
 		if st.again {
 			re.SetLimit(limitedLife, Limit{2, true}, at, at)
 		}
-		if got := len(re.Tell(at, span, false)); got != st.want {
+		if got := len(re.PendingNotices(at, span, false)); got != st.want {
 			t.Errorf("after %s: %d words, want %d", st.at, got, st.want)
 		}
 	}
-	if num := len(re.Known(now.Add(5500 * time.Millisecond))); num != 1 {
+	if num := len(re.Notices(now.Add(5500 * time.Millisecond))); num != 1 {
 		t.Errorf("%d words for a daemon that has started", num)
 	}
-	re.Retell()
-	if num := len(re.Tell(now.Add(5500*time.Millisecond), span, false)); num != 1 {
+	re.ResendNotices()
+	if num := len(re.PendingNotices(now.Add(5500*time.Millisecond), span, false)); num != 1 {
 		t.Errorf("%d words for a steward that has started", num)
 	}
 	re.SetLimit(limitedLife, Limit{3, true}, now.Add(6*time.Second), now.Add(6*time.Second))
-	re.SetRest(limitedLife, 20*time.Second, now.Add(6*time.Second))
-	re.Hear(re.Known(now.Add(6*time.Second)), now.Add(6100*time.Millisecond))
-	re.Tell(now.Add(7*time.Second), span, false)
-	re.Retell()
-	if num := len(re.Tell(now.Add(8*time.Second), span, false)); num != 1 {
+	re.SetRetryAfter(limitedLife, 20*time.Second, now.Add(6*time.Second))
+	re.ApplyNotices(re.Notices(now.Add(6*time.Second)), now.Add(6100*time.Millisecond))
+	re.PendingNotices(now.Add(7*time.Second), span, false)
+	re.ResendNotices()
+	if num := len(re.PendingNotices(now.Add(8*time.Second), span, false)); num != 1 {
 		t.Errorf("%d words of its own left after they came back", num)
 	}
 	other := &Register{}
-	other.Hear([]Word{{Life: limitedLife, Limit: Limit{2, true}, LimitAge: 1}}, now)
-	if num := len(other.Tell(now, span, false)); num != 0 {
+	other.ApplyNotices([]Notice{{Instance: limitedLife, Limit: Limit{2, true}, LimitAge: 1}}, now)
+	if num := len(other.PendingNotices(now, span, false)); num != 0 {
 		t.Errorf("%d words of others passed on", num)
 	}
-	if num := len(other.Tell(now, span, true)); num != 1 {
+	if num := len(other.PendingNotices(now, span, true)); num != 1 {
 		t.Errorf("the steward passes on %d words", num)
 	}
 }
@@ -426,10 +426,10 @@
 		{"said in an answer", func(re *Register) { re.SetLeaving(limitedLife, now) }, map[catalog.Instance]bool{limitedLife: true, next: false}},
 		{"said by a life whose start is learnt later", func(re *Register) {
 			re.SetLeaving(unknown, now)
-			re.Takes(limitedLife, now)
+			re.Accepts(limitedLife, now)
 		}, map[catalog.Instance]bool{limitedLife: true, next: false}},
 		{"told by another daemon", func(re *Register) {
-			if num := len(re.Hear([]Word{{Life: limitedLife, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
+			if num := len(re.ApplyNotices([]Notice{{Instance: limitedLife, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
 				t.Errorf("%d endpoints new", num)
 			}
 		}, map[catalog.Instance]bool{limitedLife: true, next: false}},
@@ -447,7 +447,7 @@
 		re := &Register{}
 		tc.play(re)
 		for li, want := range tc.want {
-			if got := re.Leaving(li); got != want || re.Takes(li, now) == want {
+			if got := re.Leaving(li); got != want || re.Accepts(li, now) == want {
 				t.Errorf("%s: %v leaves: %v, want %v", tc.name, li, got, want)
 			}
 		}
--- a/internal/core/backpressure/register.go
+++ b/internal/core/backpressure/register.go
@@ -58,7 +58,7 @@
 
 // SetRest takes in that the endpoint turned a request away and wants none of this daemon for
 // that long.
-func (re *Register) SetRest(li catalog.Instance, rest time.Duration, now time.Time) {
+func (re *Register) SetRetryAfter(li catalog.Instance, rest time.Duration, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.life(li)
@@ -83,7 +83,7 @@
 }
 
 // SetTaken takes in that the endpoint took a request that was sent then.
-func (re *Register) SetTaken(li catalog.Instance, sent, now time.Time) {
+func (re *Register) SetAccepted(li catalog.Instance, sent, now time.Time) {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -178,7 +178,7 @@
 }
 
 // Takes tells whether the endpoint takes a request of this daemon now.
-func (re *Register) Takes(li catalog.Instance, now time.Time) bool {
+func (re *Register) Accepts(li catalog.Instance, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return true
 	}
@@ -189,7 +189,7 @@
 }
 
 // Sent counts a request that is sent to the endpoint.
-func (re *Register) Sent(li catalog.Instance, now time.Time) {
+func (re *Register) RecordSent(li catalog.Instance, now time.Time) {
 	if re == nil || re.num.Load() == 0 {
 		return
 	}
@@ -202,7 +202,7 @@
 
 // Opens returns after what time the endpoint takes a request of this daemon: 0 if it does now.
 // The second value is false if that isn't known.
-func (re *Register) Opens(li catalog.Instance, now time.Time) (time.Duration, bool) {
+func (re *Register) WaitTime(li catalog.Instance, now time.Time) (time.Duration, bool) {
 	if re == nil || re.num.Load() == 0 {
 		return 0, true
 	}
@@ -246,7 +246,7 @@
 }
 
 // Resting returns the number of endpoints that want no request of this daemon.
-func (re *Register) Resting(now time.Time) int {
+func (re *Register) NumBackingOff(now time.Time) int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
--- a/internal/core/backpressure/word.go
+++ b/internal/core/backpressure/word.go
@@ -15,9 +15,9 @@
 const echoSlack = 500 * time.Millisecond
 
 // Word is what an endpoint said, as daemons tell each other.
-type Word struct {
-	Life  catalog.Instance `json:"life" cbor:"1,keyasint"`
-	Limit Limit            `json:"limit" cbor:"2,keyasint"`
+type Notice struct {
+	Instance catalog.Instance `json:"life" cbor:"1,keyasint"`
+	Limit    Limit            `json:"limit" cbor:"2,keyasint"`
 	// LimitAge is how long ago the endpoint held to the limit, or to none, for certain; 0 if it
 	// never named one. Ages are told and not times: the clocks of machines differ.
 	LimitAge time.Duration `json:"limit-age,omitempty" cbor:"3,keyasint,omitempty"`
@@ -44,13 +44,13 @@
 // Tell returns what the others are to be told now: what has changed, for some time since
 // messages may be lost, and what endpoints go on saying, now and then. relay adds what this
 // daemon has heard from others.
-func (re *Register) Tell(now time.Time, span time.Duration, relay bool) []Word {
+func (re *Register) PendingNotices(now time.Time, span time.Duration, relay bool) []Notice {
 	if re.num.Load() == 0 {
 		return nil
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var words []Word
+	var words []Notice
 	for id, ep := range re.endpoints {
 		if !ep.heard && !relay {
 			continue
@@ -66,8 +66,8 @@
 }
 
 // word is what there is to tell of the endpoint.
-func (ep *endpoint) word(li catalog.Instance, now time.Time) Word {
-	wo := Word{Life: li, Limit: ep.limit, Leaving: ep.leaving}
+func (ep *endpoint) word(li catalog.Instance, now time.Time) Notice {
+	wo := Notice{Instance: li, Limit: ep.limit, Leaving: ep.leaving}
 	if !ep.limitAt.IsZero() {
 		wo.LimitAge = max(1, now.Sub(ep.limitAt))
 	}
@@ -82,10 +82,10 @@
 }
 
 // Known returns all that is known, for a daemon that has just started.
-func (re *Register) Known(now time.Time) []Word {
+func (re *Register) Notices(now time.Time) []Notice {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	var words []Word
+	var words []Notice
 	for id, ep := range re.endpoints {
 		words = append(words, ep.word(catalog.Instance{ID: id, Incarnation: ep.incarnation}, now))
 	}
@@ -94,7 +94,7 @@
 
 // Retell has the others told again of what endpoints said to this daemon: a new steward may
 // not know it.
-func (re *Register) Retell() {
+func (re *Register) ResendNotices() {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -107,10 +107,10 @@
 
 // Hear takes in what another daemon told, and returns the endpoints of which it is new that they
 // leave.
-func (re *Register) Hear(words []Word, now time.Time) (leaving []catalog.Instance) {
+func (re *Register) ApplyNotices(words []Notice, now time.Time) (leaving []catalog.Instance) {
 	for _, wo := range words {
 		if wo.Leaving && re.hearLeaving(wo, now) {
-			leaving = append(leaving, wo.Life)
+			leaving = append(leaving, wo.Instance)
 		}
 		re.hearLimit(wo, now)
 		re.hearShed(wo, now)
@@ -118,28 +118,28 @@
 	return leaving
 }
 
-func (re *Register) hearLeaving(wo Word, now time.Time) bool {
-	if !re.SetLeaving(wo.Life, now.Add(-wo.LeavingAge)) {
+func (re *Register) hearLeaving(wo Notice, now time.Time) bool {
+	if !re.SetLeaving(wo.Instance, now.Add(-wo.LeavingAge)) {
 		return false
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if ep := re.find(wo.Life); ep != nil {
+	if ep := re.find(wo.Instance); ep != nil {
 		ep.heard = false
 	}
 	return true
 }
 
-func (re *Register) hearLimit(wo Word, now time.Time) {
+func (re *Register) hearLimit(wo Notice, now time.Time) {
 	if wo.LimitAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	if re.endpoints[wo.Life.ID] == nil && !wo.Limit.Named {
+	if re.endpoints[wo.Instance.ID] == nil && !wo.Limit.Named {
 		return
 	}
-	ep := re.life(wo.Life)
+	ep := re.life(wo.Instance)
 	if ep == nil {
 		return
 	}
@@ -152,13 +152,13 @@
 	}
 }
 
-func (re *Register) hearShed(wo Word, now time.Time) {
+func (re *Register) hearShed(wo Notice, now time.Time) {
 	if wo.ShedAge == 0 {
 		return
 	}
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	ep := re.life(wo.Life)
+	ep := re.life(wo.Instance)
 	if ep == nil {
 		return
 	}
--- a/internal/core/control/action.go
+++ b/internal/core/control/action.go
@@ -37,14 +37,14 @@
 }
 
 // Announce tells peers that a group is not whole. It is not answered.
-type Announce struct {
+type BroadcastRevocation struct {
 	Group string
 	Fence uint64
 	Peers []string
 }
 
 // PullSightings asks a daemon for the VMs whose sighting has changed since.
-type PullSightings struct {
+type PullObservations struct {
 	Daemon string
 	Peer   string
 	Since  uint64
@@ -57,7 +57,7 @@
 type RenewLease struct{ Lease string }
 
 // DropLease gives the lease up. It is not answered.
-type DropLease struct{ Lease string }
+type ReleaseLease struct{ Lease string }
 
 // ReadDomains reads the written assignments of the data center, or of Only
 // that domain.
@@ -75,20 +75,20 @@
 // SendOrder sends an order to an engine.
 type SendOrder struct{ Order fleet.Order }
 
-func (Probe) isAction()         {}
-func (Pull) isAction()          {}
-func (FetchDocs) isAction()     {}
-func (FetchConfig) isAction()   {}
-func (ReadConfig) isAction()    {}
-func (Announce) isAction()      {}
-func (PullSightings) isAction() {}
-func (AcquireLease) isAction()  {}
-func (RenewLease) isAction()    {}
-func (DropLease) isAction()     {}
-func (ReadDomains) isAction()   {}
-func (ReadVMs) isAction()       {}
-func (WriteDomain) isAction()   {}
-func (SendOrder) isAction()     {}
+func (Probe) isAction()               {}
+func (Pull) isAction()                {}
+func (FetchDocs) isAction()           {}
+func (FetchConfig) isAction()         {}
+func (ReadConfig) isAction()          {}
+func (BroadcastRevocation) isAction() {}
+func (PullObservations) isAction()    {}
+func (AcquireLease) isAction()        {}
+func (RenewLease) isAction()          {}
+func (ReleaseLease) isAction()        {}
+func (ReadDomains) isAction()         {}
+func (ReadVMs) isAction()             {}
+func (WriteDomain) isAction()         {}
+func (SendOrder) isAction()           {}
 
 // Prefixes of the keys in Core.flying.
 const (
@@ -102,6 +102,6 @@
 	flyDomains   = "domains"
 	flyVMs       = "vms"
 	// FlyPeerConfig and FlyPlatformConfig are the sources in ConfigArrived.
-	FlyPeerConfig     = "config-peer"
-	FlyPlatformConfig = "config-platform"
+	SourcePeerConfig     = "config-peer"
+	SourcePlatformConfig = "config-platform"
 )
--- a/internal/core/control/config.go
+++ b/internal/core/control/config.go
@@ -13,7 +13,7 @@
 		return
 	}
 	if co.every("boot-config", bootWait) {
-		co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision})
+		co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision})
 	}
 }
 
--- a/internal/core/control/config_test.go
+++ b/internal/core/control/config_test.go
@@ -141,7 +141,7 @@
 			}
 			cfg, _ := no.core.Config()
 			old := cfg.With(intent.Change{}, cfg.Revision-1)
-			w.deliver(no, no.life, control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: old})
+			w.deliver(no, no.life, control.ConfigArrived{Source: control.SourcePlatformConfig, Known: true, Snapshot: old})
 			if now, _ := no.core.Config(); now.Revision != cfg.Revision {
 				t.Errorf("revision = %d after a stale read, want %d", now.Revision, cfg.Revision)
 			}
--- a/internal/core/control/control.go
+++ b/internal/core/control/control.go
@@ -159,13 +159,13 @@
 		co.leave()
 	case Probed:
 		co.probed(ev)
-	case Answered:
+	case ResponseStarted:
 		co.answered(ev)
 	case Pulled:
 		co.pulled(ev)
 	case PullFailed:
 		co.pullFailed(ev)
-	case Asked:
+	case PullReceived:
 		co.asked(ev)
 	case DocsArrived:
 		co.docsArrived(ev)
@@ -173,11 +173,11 @@
 		co.configArrived(ev)
 	case Revoked:
 		co.revoked(ev)
-	case SightingsArrived:
+	case ObservationsArrived:
 		co.sightingsArrived(ev)
-	case LeaseWon, LeaseRenewed, LeaseFailed, LeaseLost:
+	case LeaseAcquired, LeaseRenewed, LeaseFailed, LeaseLost:
 		co.leaseEvent(ev)
-	case DomainsRead, DomainWritten, DomainUncertain:
+	case DomainsRead, DomainWritten, DomainWriteUnconfirmed:
 		co.domainEvent(ev)
 	case VMsRead:
 		co.vmsRead(ev)
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -31,7 +31,7 @@
 
 // Answered says that a group began to answer a request that was dispatched at
 // SentAt. A replica works only as a whole, so it was whole then.
-type Answered struct {
+type ResponseStarted struct {
 	Group  string
 	Fence  uint64
 	Leader string
@@ -65,7 +65,7 @@
 }
 
 // Asked says that a peer has pulled from this daemon.
-type Asked struct {
+type PullReceived struct {
 	Peer string
 	// Revision is that of the peer's own document.
 	Revision uint64
@@ -80,14 +80,14 @@
 
 // SightingsArrived is a daemon's answer to PullSightings; Answer is nil when
 // it failed.
-type SightingsArrived struct {
+type ObservationsArrived struct {
 	Daemon string
 	SentAt time.Time
-	Answer *SightingsAnswer
+	Answer *ObservationsAnswer
 }
 
 // LeaseWon says that this daemon is the steward of its data center.
-type LeaseWon struct {
+type LeaseAcquired struct {
 	Lease  string
 	Epoch  uint64
 	SentAt time.Time
@@ -120,7 +120,7 @@
 type DomainWritten struct{ StoredDomain }
 
 // DomainUncertain says that a write met another revision or lost its answer.
-type DomainUncertain struct{ Name string }
+type DomainWriteUnconfirmed struct{ Name string }
 
 // VMsRead brings the platform's list; it is nil when the read failed.
 type VMsRead struct{ VMs []fleet.VM }
@@ -128,23 +128,23 @@
 // OrderDone says that an order was answered or given up.
 type OrderDone struct{ VM string }
 
-func (Tick) isEvent()             {}
-func (Leave) isEvent()            {}
-func (Probed) isEvent()           {}
-func (Answered) isEvent()         {}
-func (Pulled) isEvent()           {}
-func (PullFailed) isEvent()       {}
-func (DocsArrived) isEvent()      {}
-func (ConfigArrived) isEvent()    {}
-func (Asked) isEvent()            {}
-func (Revoked) isEvent()          {}
-func (SightingsArrived) isEvent() {}
-func (LeaseWon) isEvent()         {}
-func (LeaseRenewed) isEvent()     {}
-func (LeaseFailed) isEvent()      {}
-func (LeaseLost) isEvent()        {}
-func (DomainsRead) isEvent()      {}
-func (DomainWritten) isEvent()    {}
-func (DomainUncertain) isEvent()  {}
-func (VMsRead) isEvent()          {}
-func (OrderDone) isEvent()        {}
+func (Tick) isEvent()                   {}
+func (Leave) isEvent()                  {}
+func (Probed) isEvent()                 {}
+func (ResponseStarted) isEvent()        {}
+func (Pulled) isEvent()                 {}
+func (PullFailed) isEvent()             {}
+func (DocsArrived) isEvent()            {}
+func (ConfigArrived) isEvent()          {}
+func (PullReceived) isEvent()           {}
+func (Revoked) isEvent()                {}
+func (ObservationsArrived) isEvent()    {}
+func (LeaseAcquired) isEvent()          {}
+func (LeaseRenewed) isEvent()           {}
+func (LeaseFailed) isEvent()            {}
+func (LeaseLost) isEvent()              {}
+func (DomainsRead) isEvent()            {}
+func (DomainWritten) isEvent()          {}
+func (DomainWriteUnconfirmed) isEvent() {}
+func (VMsRead) isEvent()                {}
+func (OrderDone) isEvent()              {}
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -189,7 +189,7 @@
 // asked pulls back from a daemon that is not known, or known as it was before.
 // Documents flow only towards the one who pulls: without this, a daemon that
 // nobody tells of the others would never hear of them.
-func (co *Core) asked(ev Asked) {
+func (co *Core) asked(ev PullReceived) {
 	known := co.docs.Get(gossip.DaemonPrefix + co.daemonAt(ev.Peer)).Revision
 	if known < ev.Revision && ev.Peer != co.set.Peer {
 		co.emitOnce(flyPull+ev.Peer, Pull{Peer: ev.Peer, Revision: co.SelfRevision()})
@@ -211,7 +211,7 @@
 		co.emitOnce(flyDocs+ev.Peer, FetchDocs{Peer: ev.Peer, Have: co.docs.Revisions()})
 	}
 	if ev.Answer.ConfigRevision > co.cfg.Revision || (!co.cfgKnown && ev.Answer.ConfigRevision > 0) {
-		co.emitOnce(FlyPeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
+		co.emitOnce(SourcePeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
 	}
 }
 
@@ -294,7 +294,7 @@
 		return
 	}
 	_, known := co.daemons[dm.Name]
-	if !known && dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.Forget {
+	if !known && dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.DeadRetention {
 		return
 	}
 	if !co.docs.Put(do) {
@@ -312,7 +312,7 @@
 // forgetDead drops daemons that have been dead for long.
 func (co *Core) forgetDead() {
 	for name, dm := range co.daemons {
-		if dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.Forget {
+		if dm.State == gossip.Dead && co.now.Sub(dm.Since) > gossip.DeadRetention {
 			delete(co.daemons, name)
 			co.docs.Drop(gossip.DaemonPrefix + name)
 		}
--- a/internal/core/control/platform_test.go
+++ b/internal/core/control/platform_test.go
@@ -16,18 +16,18 @@
 )
 
 func (w *world) readConfig(no *node, ac control.ReadConfig) {
-	failed := control.ConfigArrived{Source: control.FlyPlatformConfig}
+	failed := control.ConfigArrived{Source: control.SourcePlatformConfig}
 	w.call(no, platformID, failed, func(answer func(control.Event)) {
 		st := chainstore.Store{KV: w.store, Clock: w.clock}
 		hd, _, err := st.Head(context.Background())
 		if err != nil {
 			return
 		}
-		up, err := st.After(context.Background(), hd, ac.After)
+		up, err := st.UpdateSince(context.Background(), hd, ac.After)
 		if err != nil {
 			return
 		}
-		answer(control.ConfigArrived{Source: control.FlyPlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
+		answer(control.ConfigArrived{Source: control.SourcePlatformConfig, Known: true, Snapshot: up.Snapshot, Entries: up.Entries})
 	})
 }
 
@@ -44,7 +44,7 @@
 			}
 			epoch, err := w.store.Put(ctx, "stewards/"+dc, []byte(no.name), 0, lease)
 			if err == nil {
-				answer(control.LeaseWon{Lease: lease, Epoch: epoch, SentAt: now})
+				answer(control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: now})
 				return
 			}
 			w.store.Revoke(ctx, lease)
@@ -65,7 +65,7 @@
 				answer(control.LeaseFailed{SentAt: now})
 			}
 		})
-	case control.DropLease:
+	case control.ReleaseLease:
 		w.call(no, platformID, nil, func(func(control.Event)) { w.store.Revoke(ctx, ac.Lease) })
 	case control.ReadDomains:
 		w.call(no, platformID, control.DomainsRead{Failed: true}, func(answer func(control.Event)) {
@@ -93,14 +93,14 @@
 			answer(control.VMsRead{VMs: w.listed(dc)})
 		})
 	case control.WriteDomain:
-		w.call(no, platformID, control.DomainUncertain{Name: ac.Domain.Name}, func(answer func(control.Event)) {
+		w.call(no, platformID, control.DomainWriteUnconfirmed{Name: ac.Domain.Name}, func(answer func(control.Event)) {
 			raw, err := json.Marshal(ac.Domain)
 			if err != nil {
 				w.t.Fatal(err)
 			}
 			rev, err := w.store.Put(ctx, control.DomainKey(dc, ac.Domain.Name), raw, ac.IfRevision, "")
 			if err != nil {
-				answer(control.DomainUncertain{Name: ac.Domain.Name})
+				answer(control.DomainWriteUnconfirmed{Name: ac.Domain.Name})
 				return
 			}
 			answer(control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}})
@@ -130,7 +130,7 @@
 func (w *world) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
 	st := chainstore.Store{KV: w.store, Clock: clock.NewManual(w.clock.Now())}
 	cfg, _ := no.core.Config()
-	done, err := st.Apply(context.Background(), cfg, chainstore.Apply{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
+	done, err := st.Apply(context.Background(), cfg, chainstore.ApplyRequest{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
 	if err == nil {
 		w.deliver(no, no.life, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
 	}
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -74,7 +74,7 @@
 			co.byHash[groupHash(gr)] = gr.ID
 		}
 	}
-	co.permits.Forget(func(group string) bool { _, ok := co.groups[group]; return ok })
+	co.permits.Retain(func(group string) bool { _, ok := co.groups[group]; return ok })
 	maps.DeleteFunc(co.rings, func(group string, _ []string) bool { _, ok := co.groups[group]; return !ok })
 	co.assign()
 }
@@ -230,7 +230,7 @@
 func (co *Core) judge(gr fleet.Group, ev Probed) {
 	if co.denies(gr, ev) {
 		if co.permits.Revoke(gr.ID, co.now) {
-			co.emit(Announce{Group: gr.ID, Fence: gr.Fence, Peers: co.region()})
+			co.emit(BroadcastRevocation{Group: gr.ID, Fence: gr.Fence, Peers: co.region()})
 		}
 		return
 	}
@@ -306,7 +306,7 @@
 }
 
 // answered takes a request's first token as evidence.
-func (co *Core) answered(ev Answered) {
+func (co *Core) answered(ev ResponseStarted) {
 	gr, ok := co.groups[ev.Group]
 	if !ok || gr.Fence != ev.Fence {
 		return
@@ -317,42 +317,42 @@
 }
 
 // SightingsAnswer tells the steward which VMs' sightings have changed.
-type SightingsAnswer struct {
+type ObservationsAnswer struct {
 	// Boot tells answers of one run of a daemon from those of another.
 	Boot int64 `cbor:"1,keyasint"`
 	// Change is where the next pull goes on.
-	Change uint64         `cbor:"2,keyasint"`
-	VMs    []SightingAged `cbor:"3,keyasint,omitempty"`
+	Change uint64            `cbor:"2,keyasint"`
+	VMs    []AgedObservation `cbor:"3,keyasint,omitempty"`
 	// Whole says that VMs holds all sightings and not only changes.
-	Whole bool `cbor:"4,keyasint,omitempty"`
+	Full bool `cbor:"4,keyasint,omitempty"`
 	// Dropped names VMs that this daemon no longer probes.
 	Dropped []string `cbor:"5,keyasint,omitempty"`
 }
 
 // SightingAged is a sighting with ages in place of times.
-type SightingAged struct {
+type AgedObservation struct {
 	VM     string       `cbor:"1,keyasint"`
 	Report fleet.Report `cbor:"2,keyasint"`
 	// SeenAgeMS is the age of the report, -1 if there is none.
-	SeenAgeMS int64 `cbor:"3,keyasint"`
+	ReportAgeMS int64 `cbor:"3,keyasint"`
 	// FailingAgeMS is how long probes have failed, -1 if they succeed.
 	FailingAgeMS int64 `cbor:"4,keyasint"`
 }
 
 // SightingsAt returns what has changed since the given change, for a steward
 // that asks at now.
-func (co *Core) SightingsAt(now time.Time, since uint64) SightingsAnswer {
+func (co *Core) ObservationsAt(now time.Time, since uint64) ObservationsAnswer {
 	co.now = now
-	an := SightingsAnswer{Boot: co.started.UnixNano(), Change: co.changes, Whole: since == 0}
+	an := ObservationsAnswer{Boot: co.started.UnixNano(), Change: co.changes, Full: since == 0}
 	for _, vm := range sortedKeys(co.seen) {
 		si := co.seen[vm]
 		if si.change > since {
-			an.VMs = append(an.VMs, SightingAged{VM: vm, Report: si.Report,
-				SeenAgeMS: co.age(si.At), FailingAgeMS: co.age(si.FailingSince)})
+			an.VMs = append(an.VMs, AgedObservation{VM: vm, Report: si.Report,
+				ReportAgeMS: co.age(si.At), FailingAgeMS: co.age(si.FailingSince)})
 		}
 	}
 	for _, vm := range sortedKeys(co.dropped) {
-		if co.dropped[vm] > since && !an.Whole {
+		if co.dropped[vm] > since && !an.Full {
 			an.Dropped = append(an.Dropped, vm)
 		}
 	}
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -30,10 +30,10 @@
 	}
 	for _, dm := range co.near() {
 		if dm.Name == co.set.Name {
-			co.takeSightings(dm.Name, co.now, co.SightingsAt(co.now, co.sourceOf(dm.Name).change))
+			co.takeSightings(dm.Name, co.now, co.ObservationsAt(co.now, co.sourceOf(dm.Name).change))
 			continue
 		}
-		co.emitOnce(flySightings+dm.Name, PullSightings{Daemon: dm.Name, Peer: dm.Peer, Since: co.sourceOf(dm.Name).change})
+		co.emitOnce(flySightings+dm.Name, PullObservations{Daemon: dm.Name, Peer: dm.Peer, Since: co.sourceOf(dm.Name).change})
 	}
 }
 
@@ -46,20 +46,20 @@
 	return so
 }
 
-func (co *Core) sightingsArrived(ev SightingsArrived) {
+func (co *Core) sightingsArrived(ev ObservationsArrived) {
 	delete(co.flying, flySightings+ev.Daemon)
 	if ev.Answer != nil && co.steward.standing != follower {
 		co.takeSightings(ev.Daemon, ev.SentAt, *ev.Answer)
 	}
 }
 
-func (co *Core) takeSightings(daemon string, sentAt time.Time, an SightingsAnswer) {
+func (co *Core) takeSightings(daemon string, sentAt time.Time, an ObservationsAnswer) {
 	so := co.sourceOf(daemon)
 	restarted := an.Boot != so.boot
-	if restarted || an.Whole {
+	if restarted || an.Full {
 		*so = source{boot: an.Boot, vms: make(map[string]fleet.Observation)}
 	}
-	if restarted && !an.Whole {
+	if restarted && !an.Full {
 		// The changes continue a former run's count: ask for everything.
 		return
 	}
@@ -69,7 +69,7 @@
 		delete(so.vms, vm)
 	}
 	for _, sa := range an.VMs {
-		so.vms[sa.VM] = fleet.Observation{Report: sa.Report, At: aged(sentAt, sa.SeenAgeMS), FailingSince: aged(sentAt, sa.FailingAgeMS)}
+		so.vms[sa.VM] = fleet.Observation{Report: sa.Report, At: aged(sentAt, sa.ReportAgeMS), FailingSince: aged(sentAt, sa.FailingAgeMS)}
 	}
 }
 
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -105,7 +105,7 @@
 		return
 	}
 	if st.standing == holder {
-		co.emit(DropLease{Lease: st.lease})
+		co.emit(ReleaseLease{Lease: st.lease})
 	}
 	who := st.who
 	*st = newSteward()
@@ -177,7 +177,7 @@
 	delete(co.flying, flyLease)
 	st := &co.steward
 	switch ev := ev.(type) {
-	case LeaseWon:
+	case LeaseAcquired:
 		co.becomeSteward(ev)
 	case LeaseRenewed:
 		st.until = ev.SentAt.Add(co.set.Timing.Lease)
@@ -204,9 +204,9 @@
 	}
 }
 
-func (co *Core) becomeSteward(ev LeaseWon) {
+func (co *Core) becomeSteward(ev LeaseAcquired) {
 	if co.state != gossip.Serving {
-		co.emit(DropLease{Lease: ev.Lease})
+		co.emit(ReleaseLease{Lease: ev.Lease})
 		return
 	}
 	st := newSteward()
@@ -221,7 +221,7 @@
 	co.publish(co.stewardDocName(), ev.Epoch<<revisionBits, stewardDoc{Name: co.set.Name, Epoch: ev.Epoch})
 	co.emitOnce(flyDomains, ReadDomains{})
 	co.emitOnce(flyVMs, ReadVMs{})
-	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
+	co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
 func (co *Core) stewardReads() {
@@ -231,7 +231,7 @@
 	if co.every("read-vms", co.set.Timing.List) {
 		co.emitOnce(flyVMs, ReadVMs{})
 	}
-	co.emitOnce(FlyPlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
+	co.emitOnce(SourcePlatformConfig, ReadConfig{After: co.cfg.Revision, Wait: true})
 }
 
 func (co *Core) vmsRead(ev VMsRead) {
@@ -267,7 +267,7 @@
 		if st.standing != follower {
 			co.adopt(ev.StoredDomain)
 		}
-	case DomainUncertain:
+	case DomainWriteUnconfirmed:
 		// The write may be our own that took effect without an answer: only
 		// reading tells.
 		delete(co.flying, flyWrite+ev.Name)
@@ -419,7 +419,7 @@
 	Epoch   uint64      `json:"epoch"`
 	Mine    bool        `json:"mine"`
 	Acting  bool        `json:"acting"`
-	Account fleet.Stats `json:"account"`
+	Stats   fleet.Stats `json:"account"`
 }
 
 // Steward returns the state of the stewardship.
@@ -430,7 +430,7 @@
 		Epoch:   st.who.Epoch,
 		Mine:    st.standing != follower,
 		Acting:  st.standing == holder && co.now.Before(st.until),
-		Account: st.account,
+		Stats:   st.account,
 	}
 }
 
--- a/internal/core/control/view.go
+++ b/internal/core/control/view.go
@@ -30,7 +30,7 @@
 	Permit  permit.Permit
 	Address string
 	// Near means that the group is in this daemon's data center.
-	Near bool
+	Local bool
 }
 
 // View returns the present view.
@@ -57,7 +57,7 @@
 				continue
 			}
 			vi.index[gr.ID] = len(vi.Groups)
-			vi.Groups = append(vi.Groups, Target{Group: gr, Permit: pe, Address: leader.Address, Near: dom.DataCenter == co.set.DataCenter})
+			vi.Groups = append(vi.Groups, Target{Group: gr, Permit: pe, Address: leader.Address, Local: dom.DataCenter == co.set.DataCenter})
 		}
 	}
 	return vi
--- a/internal/core/control/world_test.go
+++ b/internal/core/control/world_test.go
@@ -264,7 +264,7 @@
 	case control.Pull:
 		w.ask(no, ac.Peer, control.PullFailed{Peer: ac.Peer}, func(co *control.Core) control.Event {
 			other := w.daemons[ac.Peer]
-			w.deliver(other, other.life, control.Asked{Peer: no.name, Revision: ac.Revision})
+			w.deliver(other, other.life, control.PullReceived{Peer: no.name, Revision: ac.Revision})
 			return control.Pulled{Peer: ac.Peer, SentAt: now, Answer: co.PullAt(w.clock.Now())}
 		})
 	case control.FetchDocs:
@@ -272,19 +272,19 @@
 			return control.DocsArrived{Peer: ac.Peer, Docs: co.Newer(ac.Have)}
 		})
 	case control.FetchConfig:
-		failed := control.ConfigArrived{Source: control.FlyPeerConfig}
+		failed := control.ConfigArrived{Source: control.SourcePeerConfig}
 		w.ask(no, ac.Peer, failed, func(co *control.Core) control.Event {
 			an, err := co.ConfigAfter(ac.After)
 			if err != nil {
 				return failed
 			}
-			ev := control.ConfigArrived{Source: control.FlyPeerConfig, Entries: an.Entries}
+			ev := control.ConfigArrived{Source: control.SourcePeerConfig, Entries: an.Entries}
 			if len(an.Pieces) > 0 {
 				ev.Snapshot, _ = chain.Join(an.Pieces)
 			}
 			return ev
 		})
-	case control.Announce:
+	case control.BroadcastRevocation:
 		for _, to := range ac.Peers {
 			w.ask(no, to, nil, func(co *control.Core) control.Event {
 				other := w.daemons[to]
@@ -292,10 +292,10 @@
 				return nil
 			})
 		}
-	case control.PullSightings:
-		w.ask(no, ac.Peer, control.SightingsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
-			an := co.SightingsAt(w.clock.Now(), ac.Since)
-			return control.SightingsArrived{Daemon: ac.Daemon, SentAt: now, Answer: &an}
+	case control.PullObservations:
+		w.ask(no, ac.Peer, control.ObservationsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
+			an := co.ObservationsAt(w.clock.Now(), ac.Since)
+			return control.ObservationsArrived{Daemon: ac.Daemon, SentAt: now, Answer: &an}
 		})
 	case control.SendOrder:
 		w.order(no, ac)
--- a/internal/core/dispatch/budget.go
+++ b/internal/core/dispatch/budget.go
@@ -15,7 +15,7 @@
 	Slack  float64
 	Window time.Duration
 	// Began is when the daemon started.
-	Began time.Time
+	StartedAt time.Time
 
 	mu       sync.Mutex
 	services map[string]*account
@@ -51,7 +51,7 @@
 }
 
 // Left returns how many repeats the service may still be sent in this window.
-func (bu *Budget) Left(service string, now time.Time) float64 {
+func (bu *Budget) Remaining(service string, now time.Time) float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ac := bu.account(service, now)
@@ -62,7 +62,7 @@
 // started does not know what it spent before: what is left to it is a part of the slack, which
 // all daemons together use half of.
 func (bu *Budget) allowed(ac *account, now time.Time) float64 {
-	if now.Sub(bu.Began) < bu.Window {
+	if now.Sub(bu.StartedAt) < bu.Window {
 		return freshShare * bu.Slack
 	}
 	return bu.Ratio*float64(sum(ac.requests)-ac.requests[(ac.at+1)%(slots+1)]) + bu.Slack
--- a/internal/core/dispatch/budget_test.go
+++ b/internal/core/dispatch/budget_test.go
@@ -22,7 +22,7 @@
 )
 
 func (bp *budgetPlay) start(num int, now time.Time) {
-	bp.budgets[num] = &Budget{Ratio: budgetRatio, Slack: bp.slack * slackShare / float64(len(bp.budgets)), Window: budgetWindow, Began: now}
+	bp.budgets[num] = &Budget{Ratio: budgetRatio, Slack: bp.slack * slackShare / float64(len(bp.budgets)), Window: budgetWindow, StartedAt: now}
 }
 
 // step plays requests of each daemon, each of which is sent again if wanted and allowed.
--- a/internal/core/dispatch/closed_test.go
+++ b/internal/core/dispatch/closed_test.go
@@ -20,7 +20,7 @@
 	for _, name := range []string{"one", "other"} {
 		vi.Groups = append(vi.Groups, catalog.Group{Name: name, Service: "engine", Model: "large", Members: []catalog.Member{{ID: "head-" + name}}})
 	}
-	ne := Need{Service: "engine", Model: "large", Prompt: 100, Objective: time.Second, Pause: time.Second, Wait: time.Second}
+	ne := Request{Service: "engine", Model: "large", Prompt: 100, Objective: time.Second, MaxPause: time.Second, MaxWait: time.Second}
 	reg := &backpressure.Register{}
 	ta := &Table{Backpressure: reg}
 	ta.Update(vi, cfg, now)
@@ -35,10 +35,10 @@
 	}
 	reg.SetLimit(vi.Groups[1].Members[0].Instance(), limit, now, now)
 	ch, ti := ta.Pick(ne, nil, now)
-	if ti != nil || !ch.Closed || ch.Again <= 0 || ch.Again > 500*time.Millisecond {
+	if ti != nil || !ch.AllLimited || ch.RetryAfter <= 0 || ch.RetryAfter > 500*time.Millisecond {
 		t.Errorf("both limited: %+v", ch)
 	}
-	if ch, ti = ta.Pick(ne, nil, now.Add(ch.Again)); ti == nil {
+	if ch, ti = ta.Pick(ne, nil, now.Add(ch.RetryAfter)); ti == nil {
 		t.Errorf("not taken when it was told to come: %+v", ch)
 	}
 }
@@ -61,7 +61,7 @@
 	if ep := pl.Pick("desk", nil, now); ep != nil {
 		t.Errorf("both limited: picked %s", ep.ID)
 	}
-	again := pl.Opens("desk", now)
+	again := pl.WaitTime("desk", now)
 	if again <= 0 || again > 500*time.Millisecond {
 		t.Errorf("to come again after %s", again)
 	}
--- a/internal/core/dispatch/demand.go
+++ b/internal/core/dispatch/demand.go
@@ -79,7 +79,7 @@
 const minCounted = 400 * time.Millisecond
 
 // Answered tells of a whole answer of so many events.
-func (ta *Table) Answered(gr *Group, events int, now time.Time) {
+func (ta *Table) RecordAnswer(gr *Group, events int, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.demands.answered(gr.Model, events*gr.engine.Stride, now)
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -33,9 +33,9 @@
 		Members: []catalog.Member{{ID: name + "-0"}, {ID: name + "-1"}}}
 }
 
-func need(except ...*Group) Need {
-	return Need{Service: "engine", Model: "large", Prompt: 1000, Objective: 300 * time.Millisecond,
-		Pause: 300 * time.Millisecond, Wait: time.Second, Except: except}
+func need(except ...*Group) Request {
+	return Request{Service: "engine", Model: "large", Prompt: 1000, Objective: 300 * time.Millisecond,
+		MaxPause: 300 * time.Millisecond, MaxWait: time.Second, Exclude: except}
 }
 
 func ignore(error) {}
@@ -45,18 +45,18 @@
 func TestPredict(t *testing.T) {
 	en := engine()
 	empty := predict(en, en.Models[0], 1, Load{}, 1000)
-	if empty.First < 55*time.Millisecond || empty.First > 70*time.Millisecond {
-		t.Errorf("empty group: first event after %v", empty.First)
+	if empty.FirstEvent < 55*time.Millisecond || empty.FirstEvent > 70*time.Millisecond {
+		t.Errorf("empty group: first event after %v", empty.FirstEvent)
 	}
-	busy := predict(en, en.Models[0], 1, Load{Requests: 20, Context: 20000, Reading: 3000}, 1000)
-	if busy.First <= empty.First || busy.Pass <= empty.Pass || busy.Full {
+	busy := predict(en, en.Models[0], 1, Load{Requests: 20, Context: 20000, Prefill: 3000}, 1000)
+	if busy.FirstEvent <= empty.FirstEvent || busy.Pass <= empty.Pass || busy.Full {
 		t.Errorf("busy group: %+v, empty one: %+v", busy, empty)
 	}
-	if full := predict(en, en.Models[0], 1, Load{Requests: 26, Context: 20000, Reading: 3000}, 1000); !full.Full || full.First <= busy.First {
+	if full := predict(en, en.Models[0], 1, Load{Requests: 26, Context: 20000, Prefill: 3000}, 1000); !full.Full || full.FirstEvent <= busy.FirstEvent {
 		t.Errorf("full group: %+v", full)
 	}
-	if slow := predict(en, en.Models[0], 4, Load{}, 1000); slow.First < 3*empty.First {
-		t.Errorf("slow group: first event after %v, sound one after %v", slow.First, empty.First)
+	if slow := predict(en, en.Models[0], 4, Load{}, 1000); slow.FirstEvent < 3*empty.FirstEvent {
+		t.Errorf("slow group: first event after %v, sound one after %v", slow.FirstEvent, empty.FirstEvent)
 	}
 }
 
@@ -70,7 +70,7 @@
 		ch, ti := ta.Pick(need(), ignore, begin)
 		if ti == nil {
 			refused++
-			if ch.Again <= 0 {
+			if ch.RetryAfter <= 0 {
 				t.Fatal("refused without a time to come back")
 			}
 			continue
@@ -91,13 +91,13 @@
 // counts, and stops counting when they fall silent.
 func TestPeersCount(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ta.PeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, Context: 30000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, Context: 30000}}}, begin)
 	for range 5 {
 		if ch, _ := ta.Pick(need(), ignore, begin); ch.Group == nil || ch.Group.Name != "b" {
 			t.Fatalf("picked %v though the other daemon has filled group a", ch.Group)
 		}
 	}
-	ta.PeerWork("third", Work{}, begin.Add(peerLoadAge+time.Second))
+	ta.ApplyPeerWork("third", Work{}, begin.Add(peerLoadAge+time.Second))
 	if ch, _ := ta.Pick(need(), ignore, begin.Add(peerLoadAge+time.Second)); ch.Group.Name != "a" {
 		t.Error("load told long ago still counts")
 	}
@@ -110,18 +110,18 @@
 	if _, ti := steward.Pick(need(other.groups["b"], steward.groups["b"]), ignore, begin); ti == nil {
 		t.Fatal("not picked")
 	}
-	steward.PeerWork("one", Work{Loads: map[string]Load{"a": {Requests: 2}, "b": {Requests: 1}}}, begin)
-	steward.PeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 5}}}, begin)
-	steward.PeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 4}}}, begin)
-	if got := steward.WorkBut("one", begin).Loads; got["a"].Requests != 5 || got["b"].Requests != 0 {
+	steward.ApplyPeerWork("one", Work{Loads: map[string]Load{"a": {Requests: 2}, "b": {Requests: 1}}}, begin)
+	steward.ApplyPeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 5}}}, begin)
+	steward.ApplyPeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 4}}}, begin)
+	if got := steward.WorkExcept("one", begin).Loads; got["a"].Requests != 5 || got["b"].Requests != 0 {
 		t.Errorf("others than one have sent %v, want 4 + 1 requests to a", got)
 	}
-	other.PeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 9}}}, begin)
-	other.RelayedWork(steward.WorkBut("one", begin), begin)
+	other.ApplyPeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 9}}}, begin)
+	other.ApplyRelayedWork(steward.WorkExcept("one", begin), begin)
 	if got := other.groups["a"].peers.Requests; got != 5 {
 		t.Errorf("%d requests of others at a, want 5", got)
 	}
-	other.PeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 3}}}, begin)
+	other.ApplyPeerWork("two", Work{Loads: map[string]Load{"a": {Requests: 3}}}, begin)
 	if got := other.groups["a"].peers.Requests; got != 3 {
 		t.Errorf("%d requests of others at a after one told directly, want 3", got)
 	}
@@ -135,11 +135,11 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	ch, ti := ta.Pick(need(), cancel, begin)
 	ti.Event(begin.Add(50 * time.Millisecond))
-	if got := ta.Stalled(begin.Add(200 * time.Millisecond)); len(got) != 0 {
+	if got := ta.StalledGroups(begin.Add(200 * time.Millisecond)); len(got) != 0 {
 		t.Fatalf("groups %v taken as standing still after 150 ms", got)
 	}
 	later := begin.Add(time.Second)
-	if got := ta.Stalled(later); len(got) != 1 || got[0].Name != ch.Group.Name {
+	if got := ta.StalledGroups(later); len(got) != 1 || got[0].Name != ch.Group.Name {
 		t.Fatalf("standing still: %v, want %s", got, ch.Group.Name)
 	}
 	for range 10 {
@@ -147,7 +147,7 @@
 			t.Fatal("a request was sent to a group that stands still")
 		}
 	}
-	ta.Broken(ch.Group.Name, later)
+	ta.MarkBroken(ch.Group.Name, later)
 	if !errors.Is(context.Cause(ctx), ErrStalled) {
 		t.Errorf("the request goes on at the broken group: %v", context.Cause(ctx))
 	}
@@ -157,7 +157,7 @@
 func TestStallEnds(t *testing.T) {
 	ta := table(group("a", "here"))
 	_, ti := ta.Pick(need(), ignore, begin)
-	ta.Stalled(begin.Add(time.Second))
+	ta.StalledGroups(begin.Add(time.Second))
 	if ch, _ := ta.Pick(need(), ignore, begin.Add(time.Second)); ch.Group != nil {
 		t.Fatal("picked a group that stands still")
 	}
@@ -172,20 +172,20 @@
 // and once its members have answered it is used again.
 func TestSlowFirstEventIsNoStall(t *testing.T) {
 	ta := table(group("a", "here"))
-	ta.PeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, Context: 30000, Reading: 9000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, Context: 30000, Prefill: 9000}}}, begin)
 	ne := need()
-	ne.Objective, ne.Pause = time.Second, time.Second
+	ne.Objective, ne.MaxPause = time.Second, time.Second
 	if _, ti := ta.Pick(ne, ignore, begin); ti == nil {
 		t.Fatal("not picked")
 	}
-	if got := ta.Stalled(begin.Add(400 * time.Millisecond)); len(got) != 0 {
+	if got := ta.StalledGroups(begin.Add(400 * time.Millisecond)); len(got) != 0 {
 		t.Errorf("taken as standing still after 400 ms with a first event predicted at some 300 ms")
 	}
 	later := begin.Add(3 * time.Second)
-	if got := ta.Stalled(later); len(got) != 1 {
+	if got := ta.StalledGroups(later); len(got) != 1 {
 		t.Fatal("not taken as standing still after 3 s")
 	}
-	ta.Sound("a")
+	ta.MarkHealthy("a")
 	if ch, _ := ta.Pick(ne, ignore, later); ch.Group == nil {
 		t.Error("not used although all members have answered")
 	}
@@ -197,9 +197,9 @@
 func TestUnreachableHeadIsSuspected(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
 	ch, ti := ta.Pick(need(), ignore, begin)
-	ta.Unreachable(ch.Group)
+	ta.MarkUnreachable(ch.Group)
 	ti.End()
-	if got := ta.Stalled(begin); len(got) != 1 || got[0].Name != ch.Group.Name {
+	if got := ta.StalledGroups(begin); len(got) != 1 || got[0].Name != ch.Group.Name {
 		t.Errorf("members of %v are asked, want those of %s", got, ch.Group.Name)
 	}
 	for range 10 {
@@ -209,8 +209,8 @@
 		}
 		ti.End()
 	}
-	ta.Sound(ch.Group.Name)
-	if got := ta.Stalled(begin.Add(time.Minute)); len(got) != 0 {
+	ta.MarkHealthy(ch.Group.Name)
+	if got := ta.StalledGroups(begin.Add(time.Minute)); len(got) != 0 {
 		t.Errorf("members of %v are asked again though all have answered", got)
 	}
 	used := false
@@ -231,11 +231,11 @@
 	_, ti := ta.Pick(need(), cancel, begin)
 	ti.Event(begin)
 	ta.Update(&catalog.View{}, &catalog.Config{}, begin)
-	ta.Stalled(begin.Add(100 * time.Millisecond))
+	ta.StalledGroups(begin.Add(100 * time.Millisecond))
 	if ctx.Err() != nil {
 		t.Fatal("a stream that flows was ended")
 	}
-	ta.Stalled(begin.Add(time.Second))
+	ta.StalledGroups(begin.Add(time.Second))
 	if ctx.Err() == nil {
 		t.Error("a stream that stands still at a group that is gone was not ended")
 	}
@@ -245,17 +245,17 @@
 func TestLoadIsGivenBack(t *testing.T) {
 	ta := table(group("a", "here"))
 	_, ti := ta.Pick(need(), ignore, begin)
-	if got, want := ta.Own(begin).Loads["a"], (Load{Requests: 1, Reading: 1000}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Prefill: 1000}); got != want {
 		t.Errorf("before the first event: %+v, want %+v", got, want)
 	}
 	ti.Event(begin)
 	ti.Event(begin)
-	if got, want := ta.Own(begin).Loads["a"], (Load{Requests: 1, Context: 1014}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Context: 1014}); got != want {
 		t.Errorf("after two events: %+v, want %+v", got, want)
 	}
 	ti.End()
 	ti.End()
-	if got := ta.Own(begin).Loads; len(got) != 0 {
+	if got := ta.OwnWork(begin).Loads; len(got) != 0 {
 		t.Errorf("after the end: %+v", got)
 	}
 }
@@ -312,10 +312,10 @@
 		ep := pl.Pick("desk", nil, now)
 		picked[ep.ID]++
 		if ep.ID == "bad" {
-			pl.Failed(ep, now)
+			pl.RecordFailure(ep, now)
 			continue
 		}
-		pl.Answered(ep, time.Millisecond, false, now)
+		pl.RecordResponse(ep, time.Millisecond, false, now)
 	}
 	if picked["bad"] > 10 {
 		t.Errorf("%d of 200 requests went to the failing endpoint", picked["bad"])
@@ -336,10 +336,10 @@
 		ep := pl.Pick("desk", nil, now)
 		if ep.ID == "bad" && failures < 3 {
 			failures++
-			pl.Failed(ep, now)
+			pl.RecordFailure(ep, now)
 			continue
 		}
-		pl.Answered(ep, time.Millisecond, false, now)
+		pl.RecordResponse(ep, time.Millisecond, false, now)
 		if ep.ID == "bad" {
 			return
 		}
@@ -383,9 +383,9 @@
 	for range 20 {
 		ep := pl.Pick("desk", nil, now)
 		if ep.ID == "i-1" {
-			pl.Failed(ep, now)
+			pl.RecordFailure(ep, now)
 		} else {
-			pl.Dropped(ep)
+			pl.Release(ep)
 		}
 	}
 	pl.Update(view(2))
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -75,10 +75,10 @@
 		if ti.stated > 0 {
 			ti.ta.residuals.learn(gr.Model, now.Sub(ti.sent)-ti.stated)
 		}
-		gr.own.Reading -= ti.load.Reading
-		gr.own.Context += ti.load.Reading
-		ti.load.Context = ti.load.Reading
-		ti.load.Reading = 0
+		gr.own.Prefill -= ti.load.Prefill
+		gr.own.Context += ti.load.Prefill
+		ti.load.Context = ti.load.Prefill
+		ti.load.Prefill = 0
 	} else if !ti.last.IsZero() && !ti.done {
 		gr.learn(now.Sub(ti.last))
 	}
@@ -132,7 +132,7 @@
 	ti.done = true
 	gr := ti.Group
 	gr.own.Requests--
-	gr.own.Reading -= ti.load.Reading
+	gr.own.Prefill -= ti.load.Prefill
 	gr.own.Context -= ti.load.Context
 	delete(gr.streams, ti)
 }
--- a/internal/core/dispatch/late.go
+++ b/internal/core/dispatch/late.go
@@ -21,7 +21,7 @@
 )
 
 // SetDaemons tells how many daemons there are. They share what late requests may take.
-func (ta *Table) SetDaemons(num int) {
+func (ta *Table) SetDaemonCount(num int) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.numDaemons = num
@@ -30,16 +30,16 @@
 // Hold is for how long a late request is held back.
 type Hold struct {
 	// For is the time before it is picked a group.
-	For time.Duration
+	Delay time.Duration
 	// Most is how long it may be held back in all, if it finds no group then.
-	Most time.Duration
+	MaxDelay time.Duration
 }
 
 // HoldLate returns for how long to hold back a request before it is picked a group, and
 // counts its work. left is the time until its caller gives up. A request that can be in time
 // is not held back, and none is by a daemon that has been running for some time: one that
 // has just started knows nothing of the groups' load.
-func (ta *Table) HoldLate(ne Need, left time.Duration, now time.Time) Hold {
+func (ta *Table) HoldLate(ne Request, left time.Duration, now time.Time) Hold {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.began.IsZero() {
@@ -73,7 +73,7 @@
 	if next.Sub(now) < most {
 		ta.lateNext[ne.Model] = next.Add(work)
 	}
-	return Hold{For: min(most, max(0, next.Sub(now))), Most: most}
+	return Hold{Delay: min(most, max(0, next.Sub(now))), MaxDelay: most}
 }
 
 // workOf is the time that a request with such a prompt takes of a group whose slots are all
--- a/internal/core/dispatch/late_test.go
+++ b/internal/core/dispatch/late_test.go
@@ -50,24 +50,24 @@
 // Guards against holding back what can be in time, or a late request where there is room.
 func TestLateRequestsPassWhereThereIsRoom(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ta.SetDaemons(1)
+	ta.SetDaemonCount(1)
 	late := crowdNeed()
 	late.Objective = -time.Second
 	const left = 4 * time.Second
-	if ho := ta.HoldLate(late, left, begin); ho.For != 0 {
-		t.Errorf("a single late request is held back for %v", ho.For)
+	if ho := ta.HoldLate(late, left, begin); ho.Delay != 0 {
+		t.Errorf("a single late request is held back for %v", ho.Delay)
 	}
 	for range 100 {
-		if ho := ta.HoldLate(crowdNeed(), left, begin); ho.For != 0 {
-			t.Fatalf("a request that can be in time is held back for %v", ho.For)
+		if ho := ta.HoldLate(crowdNeed(), left, begin); ho.Delay != 0 {
+			t.Fatalf("a request that can be in time is held back for %v", ho.Delay)
 		}
 	}
 	for range 1000 {
-		if ho := ta.HoldLate(late, left, begin); ho.For > left/2 {
-			t.Fatalf("held back for %v of %v", ho.For, left)
+		if ho := ta.HoldLate(late, left, begin); ho.Delay > left/2 {
+			t.Fatalf("held back for %v of %v", ho.Delay, left)
 		}
 	}
-	if ho := ta.HoldLate(late, left, begin.Add(2*lateSpan)); ho.For != 0 {
-		t.Errorf("held back for %v by a daemon that has been running for %v", ho.For, 2*lateSpan)
+	if ho := ta.HoldLate(late, left, begin.Add(2*lateSpan)); ho.Delay != 0 {
+		t.Errorf("held back for %v by a daemon that has been running for %v", ho.Delay, 2*lateSpan)
 	}
 }
--- a/internal/core/dispatch/overload_test.go
+++ b/internal/core/dispatch/overload_test.go
@@ -108,7 +108,7 @@
 	for _, rr := range broken.running {
 		ti := rr.ticket
 		ne := crowdNeed()
-		ne.Begun, ne.Except = true, []*Group{ti.Group}
+		ne.Resumed, ne.Exclude = true, []*Group{ti.Group}
 		ch, moved := ti.ta.Pick(ne, ignore, cw.now)
 		ti.End()
 		if moved != nil {
@@ -134,7 +134,7 @@
 // play lets requests arrive at that rate for a time.
 func (cw *crowdWorld) play(perSecond float64, dur time.Duration) {
 	for _, ta := range cw.daemons {
-		ta.SetDelay(crowdTell/2 + cw.way)
+		ta.SetReportDelay(crowdTell/2 + cw.way)
 	}
 	due := 0.0
 	for end := cw.now.Add(dur); cw.now.Before(end); cw.now = cw.now.Add(crowdStep) {
@@ -152,9 +152,9 @@
 	}
 }
 
-func crowdNeed() Need {
-	return Need{Service: "engine", Model: "large", Prompt: 100, Objective: 200 * time.Millisecond,
-		Pause: 200 * time.Millisecond, Wait: time.Second}
+func crowdNeed() Request {
+	return Request{Service: "engine", Model: "large", Prompt: 100, Objective: 200 * time.Millisecond,
+		MaxPause: 200 * time.Millisecond, MaxWait: time.Second}
 }
 
 // arrive lets a caller send a request, again if it was refused before.
@@ -209,7 +209,7 @@
 func (cw *crowdWorld) tell() {
 	for i, ta := range cw.daemons {
 		if cw.now.Sub(begin)/crowdStep%(crowdTell/crowdStep) == time.Duration(i)%(crowdTell/crowdStep) {
-			cw.told = append(cw.told, toldWork{cw.now.Add(cw.way), i, ta.Own(cw.now)})
+			cw.told = append(cw.told, toldWork{cw.now.Add(cw.way), i, ta.OwnWork(cw.now)})
 		}
 	}
 	for len(cw.told) > 0 && !cw.told[0].at.After(cw.now) {
@@ -217,7 +217,7 @@
 		cw.told = cw.told[1:]
 		for i, ta := range cw.daemons {
 			if i != to.from {
-				ta.PeerWork(fmt.Sprint(to.from), to.work, to.at)
+				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
 			}
 		}
 	}
--- a/internal/core/dispatch/passes_test.go
+++ b/internal/core/dispatch/passes_test.go
@@ -89,8 +89,8 @@
 	for range daemons {
 		ta := &Table{DataCenter: "here", Rand: pw.rnd}
 		pw.update(ta)
-		ta.SetDelay(passTell/2 + passWay)
-		ta.SetDaemons(daemons)
+		ta.SetReportDelay(passTell/2 + passWay)
+		ta.SetDaemonCount(daemons)
 		pw.daemons = append(pw.daemons, ta)
 	}
 	return pw
@@ -132,16 +132,16 @@
 	return max(1, int64(min(most, mean*math.Exp(sigma*pw.rnd.NormFloat64()-sigma*sigma/2))))
 }
 
-func (pw *passWorld) need(rq *passRequest) Need {
-	return Need{Service: "engine", Model: "large", Prompt: rq.prompt, Objective: pw.objective - rq.waited - pw.now.Sub(rq.arrived),
-		Last: !rq.until.IsZero() && pw.now.Add(passAgain).After(rq.until), Pause: 200 * time.Millisecond, Wait: 1500 * time.Millisecond}
+func (pw *passWorld) need(rq *passRequest) Request {
+	return Request{Service: "engine", Model: "large", Prompt: rq.prompt, Objective: pw.objective - rq.waited - pw.now.Sub(rq.arrived),
+		FinalAttempt: !rq.until.IsZero() && pw.now.Add(passAgain).After(rq.until), MaxPause: 200 * time.Millisecond, MaxWait: 1500 * time.Millisecond}
 }
 
 func (pw *passWorld) arrive(rq *passRequest) {
 	pw.count(rq).sent++
-	if ho := rq.ta.HoldLate(pw.need(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.For > 0 {
-		rq.until = pw.now.Add(ho.Most)
-		pw.held = append(pw.held, heldRequest{pw.now.Add(ho.For), rq})
+	if ho := rq.ta.HoldLate(pw.need(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.Delay > 0 {
+		rq.until = pw.now.Add(ho.MaxDelay)
+		pw.held = append(pw.held, heldRequest{pw.now.Add(ho.Delay), rq})
 		return
 	}
 	pw.pick(rq)
@@ -170,7 +170,7 @@
 		pw.count(rq).refused++
 		return
 	}
-	rq.ticket, rq.sent, rq.predicted = ti, pw.now, ch.First
+	rq.ticket, rq.sent, rq.predicted = ti, pw.now, ch.FirstEvent
 	gr := pw.groups[ch.Group.Name]
 	gr.waiting = append(gr.waiting, rq)
 }
@@ -222,7 +222,7 @@
 		return false
 	}
 	rq.ticket.End()
-	rq.ta.Answered(rq.ticket.Group, rq.events, pw.now)
+	rq.ta.RecordAnswer(rq.ticket.Group, rq.events, pw.now)
 	if pw.now.Sub(rq.arrived)+rq.waited <= passTimeout {
 		pw.count(rq).whole++
 	}
@@ -233,7 +233,7 @@
 func (pw *passWorld) tell() {
 	for i, ta := range pw.daemons {
 		if pw.now.Sub(begin)/passStep%(passTell/passStep) == time.Duration(i)%(passTell/passStep) {
-			pw.told = append(pw.told, toldWork{pw.now.Add(passWay), i, ta.Own(pw.now)})
+			pw.told = append(pw.told, toldWork{pw.now.Add(passWay), i, ta.OwnWork(pw.now)})
 		}
 	}
 	for len(pw.told) > 0 && !pw.told[0].at.After(pw.now) {
@@ -241,7 +241,7 @@
 		pw.told = pw.told[1:]
 		for i, ta := range pw.daemons {
 			if i != to.from {
-				ta.PeerWork(fmt.Sprint(to.from), to.work, to.at)
+				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
 			}
 		}
 	}
--- a/internal/core/dispatch/peers.go
+++ b/internal/core/dispatch/peers.go
@@ -32,7 +32,7 @@
 
 // PeerWork takes in another daemon's work. It replaces what was relayed, which
 // holds the same.
-func (ta *Table) PeerWork(peer string, wo Work, now time.Time) {
+func (ta *Table) ApplyPeerWork(peer string, wo Work, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.peers == nil {
@@ -76,7 +76,7 @@
 
 // RelayedWork takes in the work of all other daemons together. It replaces what
 // single daemons told.
-func (ta *Table) RelayedWork(wo Work, now time.Time) {
+func (ta *Table) ApplyRelayedWork(wo Work, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.peers == nil {
@@ -103,7 +103,7 @@
 }
 
 // Own returns the work of this daemon.
-func (ta *Table) Own(now time.Time) Work {
+func (ta *Table) OwnWork(now time.Time) Work {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	wo := Work{Loads: make(map[string]Load, len(ta.groups)), Rates: ta.rates.all(now), Demand: ta.ownDemand(now)}
@@ -117,7 +117,7 @@
 
 // WorkBut returns the work of all daemons without that of another one: what
 // that one can't know by itself.
-func (ta *Table) WorkBut(peer string, now time.Time) Work {
+func (ta *Table) WorkExcept(peer string, now time.Time) Work {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	told := ta.peers[peer]
--- a/internal/core/dispatch/plain.go
+++ b/internal/core/dispatch/plain.go
@@ -85,7 +85,7 @@
 	var best *PlainEndpoint
 	var bestCost float64
 	for _, ep := range pl.services[service] {
-		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Takes(ep.Instance(), now) {
+		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Accepts(ep.Instance(), now) {
 			continue
 		}
 		if co := pl.cost(ep, now); best == nil || co < bestCost {
@@ -94,14 +94,14 @@
 	}
 	if best != nil {
 		best.open++
-		pl.Backpressure.Sent(best.Instance(), now)
+		pl.Backpressure.RecordSent(best.Instance(), now)
 	}
 	return best
 }
 
 // Opens returns after what time the first endpoint of a service should take a request, if all
 // of them take none now because of what they say, and 0 otherwise.
-func (pl *Plain) Opens(service string, now time.Time) time.Duration {
+func (pl *Plain) WaitTime(service string, now time.Time) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var lives []catalog.Instance
@@ -134,7 +134,7 @@
 )
 
 // Answered tells that an endpoint has answered after that time.
-func (pl *Plain) Answered(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
+func (pl *Plain) RecordResponse(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.open--
@@ -158,7 +158,7 @@
 }
 
 // Failed tells that an endpoint gave no answer that can be used.
-func (pl *Plain) Failed(ep *PlainEndpoint, now time.Time) {
+func (pl *Plain) RecordFailure(ep *PlainEndpoint, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.open--
@@ -168,7 +168,7 @@
 }
 
 // Dropped tells that a request ended without saying anything of the endpoint.
-func (pl *Plain) Dropped(ep *PlainEndpoint) {
+func (pl *Plain) Release(ep *PlainEndpoint) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.open--
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -15,23 +15,23 @@
 	// Requests is how many run or wait.
 	Requests int `cbor:"1,keyasint,omitempty"`
 	// Reading is the number of prompt tokens that are still to be read.
-	Reading int64 `cbor:"2,keyasint,omitempty"`
+	Prefill int64 `cbor:"2,keyasint,omitempty"`
 	// Context is the number of tokens that the writing requests hold.
 	Context int64 `cbor:"3,keyasint,omitempty"`
 }
 
 func (lo Load) plus(other Load) Load {
-	return Load{lo.Requests + other.Requests, lo.Reading + other.Reading, lo.Context + other.Context}
+	return Load{lo.Requests + other.Requests, lo.Prefill + other.Prefill, lo.Context + other.Context}
 }
 
 func (lo Load) minus(other Load) Load {
-	return Load{lo.Requests - other.Requests, lo.Reading - other.Reading, lo.Context - other.Context}
+	return Load{lo.Requests - other.Requests, lo.Prefill - other.Prefill, lo.Context - other.Context}
 }
 
 // Prediction is what a request can expect of a group.
 type Prediction struct {
 	// First is the time until its first event.
-	First time.Duration
+	FirstEvent time.Duration
 	// Pass is the longest pause that it causes for all requests of the group.
 	Pass time.Duration
 	// Full is set when the group runs as many requests as it can.
@@ -47,17 +47,17 @@
 func predict(en *catalog.Engine, mo catalog.Model, slowness float64, lo Load, prompt int64) Prediction {
 	pace := mo.TimeFactor() * max(slowness, 1)
 	steps := passTime(en, lo.Requests+1, lo.Context+prompt)
-	read := readTime(en, lo.Reading+prompt)
+	read := readTime(en, lo.Prefill+prompt)
 	current := passTime(en, lo.Requests, lo.Context)
 	pass := scale(steps+read, pace)
-	pr := Prediction{First: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
+	pr := Prediction{FirstEvent: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
 	if lo.Requests == 0 {
-		pr.First = pass
+		pr.FirstEvent = pass
 	}
 	if pr.Full {
 		// One of the running requests has to end for each that waits before.
 		life := answerTime(en, lo, pace)
-		pr.First += life * time.Duration(lo.Requests-en.Slots+1) / time.Duration(max(1, en.Slots))
+		pr.FirstEvent += life * time.Duration(lo.Requests-en.Slots+1) / time.Duration(max(1, en.Slots))
 	}
 	return pr
 }
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -24,7 +24,7 @@
 // Stalled returns the groups whose members are to be asked now, because this
 // daemon's requests there stand still or the head can't be reached. Requests at groups that have left the
 // view and stand still are ended, so that they go on elsewhere.
-func (ta *Table) Stalled(now time.Time) []catalog.Group {
+func (ta *Table) StalledGroups(now time.Time) []catalog.Group {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var stalled []catalog.Group
@@ -46,7 +46,7 @@
 
 // Advancing returns the groups that stood still and whose streams have gone on since
 // it was last called.
-func (ta *Table) Advancing() []catalog.Group {
+func (ta *Table) RecoveredGroups() []catalog.Group {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var groups []catalog.Group
@@ -70,7 +70,7 @@
 			return max(minStall, scale(pr.Pass, stallPasses))
 		}
 	}
-	return max(minStall, scale(pr.First, stallPasses))
+	return max(minStall, scale(pr.FirstEvent, stallPasses))
 }
 
 func (gr *Group) abandon() {
@@ -81,7 +81,7 @@
 
 // Broken ends the requests at a group that has lost a member, so that they go
 // on elsewhere, and keeps new ones from it.
-func (ta *Table) Broken(name string, now time.Time) {
+func (ta *Table) MarkBroken(name string, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if gr := ta.groups[name]; gr != nil {
@@ -93,7 +93,7 @@
 
 // Sound tells that all members of a group that stood still have answered. It
 // is used again until it is asked about the next time.
-func (ta *Table) Sound(name string) {
+func (ta *Table) MarkHealthy(name string) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if gr := ta.groups[name]; gr != nil {
@@ -105,7 +105,7 @@
 // group is not used until its members have answered, and they are asked at once. A
 // daemon that has no stream at the group would else send it one request after the
 // other, each of which waits for the timeout.
-func (ta *Table) Unreachable(gr *Group) {
+func (ta *Table) MarkUnreachable(gr *Group) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	gr.stalled, gr.unreachable = true, true
@@ -113,7 +113,7 @@
 
 // Wrong tells that an endpoint refused a request as not its own: the view is
 // old, and the group is not used until the next one.
-func (ta *Table) Wrong(gr *Group) {
+func (ta *Table) MarkMisrouted(gr *Group) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	gr.stalled = true
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -53,27 +53,27 @@
 }
 
 // Need is what a request asks of a group.
-type Need struct {
+type Request struct {
 	Service, Model string
 	// Prompt is the number of tokens to read.
 	Prompt int64
 	// Objective is what is left of the latency up to the first event.
 	Objective time.Duration
 	// Pause is the longest pause between events.
-	Pause time.Duration
+	MaxPause time.Duration
 	// Wait is the longest useful wait for the first event.
-	Wait time.Duration
+	MaxWait time.Duration
 	// Last is set for a late request that was held back for as long as it may be.
-	Last bool
+	FinalAttempt bool
 	// Begun is set for a request whose caller has a part of the answer.
-	Begun bool
+	Resumed bool
 	// Except are groups that the request was sent to before.
-	Except []*Group
+	Exclude []*Group
 }
 
 // late tells whether the request can't be in time any more, whatever group it is
 // sent to: its caller was refused before and has come back.
-func (ne *Need) late() bool { return ne.Objective <= 0 && !ne.Begun }
+func (ne *Request) late() bool { return ne.Objective <= 0 && !ne.Resumed }
 
 // lateReserve is the part of a group's slots that is kept for requests that can be in time
 // still (trunk reservation). Without it, callers that come back take the slots from
@@ -82,7 +82,7 @@
 
 // SetDelay tells how old what other daemons tell of their work is when it
 // counts.
-func (ta *Table) SetDelay(delay time.Duration) {
+func (ta *Table) SetReportDelay(delay time.Duration) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	ta.delay = delay
@@ -149,44 +149,44 @@
 	// Idle is set if half of the group's slots should be free at least.
 	Idle bool
 	// Fits tells whether the objective is expected to be met.
-	Fits bool
+	MeetsObjective bool
 	// Groups is how many groups of the model the request could be sent to. Closed is set if
 	// there are some and all of them take none now because of what their heads say.
-	Groups int
-	Closed bool
+	Groups     int
+	AllLimited bool
 	// Again is when there should be room, if Group is nil.
-	Again time.Duration
+	RetryAfter time.Duration
 }
 
 // Pick returns the group for a request and counts the request there.
-func (ta *Table) Pick(ne Need, cancel context.CancelCauseFunc, now time.Time) (Choice, *Ticket) {
+func (ta *Table) Pick(ne Request, cancel context.CancelCauseFunc, now time.Time) (Choice, *Ticket) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	if ta.rates == nil {
 		ta.rates, ta.estimated, ta.demands = make(arrivals), make(map[string]time.Time), make(demands)
 	}
-	if !ne.Begun {
+	if !ne.Resumed {
 		ta.rates.add(ne.Model, now)
 	}
-	if !ne.Begun && !ne.late() && len(ne.Except) == 0 {
+	if !ne.Resumed && !ne.late() && len(ne.Exclude) == 0 {
 		ta.demands.asked(ne.Model, ne.Prompt, now)
 	}
 	ta.estimatePeers(ne.Model, now)
 	cands, left := ta.candidates(ne, now)
 	ch := Choice{Groups: len(cands)}
 	if len(cands) == 0 {
-		ch.Again = ta.opens(ne, now)
-		ch.Closed = ch.Again > 0
-		if !ch.Closed {
-			ch.Again = againNoGroup
+		ch.RetryAfter = ta.opens(ne, now)
+		ch.AllLimited = ch.RetryAfter > 0
+		if !ch.AllLimited {
+			ch.RetryAfter = againNoGroup
 		}
 		return ch, nil
 	}
 	best := choose(cands, ta.random())
-	ch.Prediction, ch.Fits, ch.Running = best.Prediction, best.fits, best.running
+	ch.Prediction, ch.MeetsObjective, ch.Running = best.Prediction, best.fits, best.running
 	ch.Idle = best.running < float64(best.gr.engine.Slots)/2
-	if crowded := !ne.Begun && ta.random() < left; crowded || !best.fits && !admissible(best, ne) {
-		ch.Again = max(againFull, best.First-ne.Objective)
+	if crowded := !ne.Resumed && ta.random() < left; crowded || !best.fits && !admissible(best, ne) {
+		ch.RetryAfter = max(againFull, best.FirstEvent-ne.Objective)
 		return ch, nil
 	}
 	ch.Group = best.gr
@@ -209,21 +209,21 @@
 // admissible tells whether a request that misses its objective is sent all
 // the same: an answer that is late is worth something to its caller, but not
 // one that makes everybody else late.
-func admissible(ca candidate, ne Need) bool {
-	return !ca.Full && ca.First < ne.Wait && ca.Pass <= ne.Pause
+func admissible(ca candidate, ne Request) bool {
+	return !ca.Full && ca.FirstEvent < ne.MaxWait && ca.Pass <= ne.MaxPause
 }
 
 // candidates returns the groups that the request may be sent to, and the part
 // of the requests of its kind that none of them has room for.
-func (ta *Table) candidates(ne Need, now time.Time) ([]candidate, float64) {
+func (ta *Table) candidates(ne Request, now time.Time) ([]candidate, float64) {
 	var cands []candidate
 	var levels []level
 	for _, gr := range ta.byName {
-		if !gr.takes(ne) || !ta.Backpressure.Takes(gr.head(), now) {
+		if !gr.takes(ne) || !ta.Backpressure.Accepts(gr.head(), now) {
 			continue
 		}
 		le, distance := ta.level(gr), ta.distance(gr)
-		if ne.late() && !ne.Last {
+		if ne.late() && !ne.FinalAttempt {
 			le.room -= lateReserve * float64(gr.engine.Slots)
 		}
 		cands = append(cands, candidate{gr: gr, running: le.load})
@@ -231,7 +231,7 @@
 	}
 	limit := ne.Objective
 	if ne.late() {
-		limit = ne.Wait
+		limit = ne.MaxWait
 	}
 	moving := ta.moves.of(ne.Model, now)
 	beside := max(0, float64(ta.peerRates[ne.Model]))*besideSpan.Seconds() + moving
@@ -244,33 +244,33 @@
 		ca.weight = shares[i]
 		lo := ca.gr.own.plus(ca.gr.peers)
 		lo.Requests = int(ca.running + shares[i]*beside/(beside+1))
-		lo.Reading += int64(shares[i] * moving / (beside + 1) * float64(ne.Prompt))
+		lo.Prefill += int64(shares[i] * moving / (beside + 1) * float64(ne.Prompt))
 		ca.Prediction = predict(ca.gr.engine, ca.gr.model, ca.gr.slowness(), lo, ne.Prompt)
-		ca.stated = ca.First
-		ca.First += ta.residuals.of(ne.Model)
-		ca.fits = !ca.Full && ca.First <= limit && ca.Pass <= scale(ne.Pause, pauseMargin)
+		ca.stated = ca.FirstEvent
+		ca.FirstEvent += ta.residuals.of(ne.Model)
+		ca.fits = !ca.Full && ca.FirstEvent <= limit && ca.Pass <= scale(ne.MaxPause, pauseMargin)
 	}
 	return cands, left / (beside + 1)
 }
 
 // takes tells whether a request may be sent to the group.
-func (gr *Group) takes(ne Need) bool {
+func (gr *Group) takes(ne Request) bool {
 	if !gr.listed || gr.leaving || gr.stalled {
 		return false
 	}
-	return gr.Service == ne.Service && gr.Model == ne.Model && !slices.Contains(ne.Except, gr)
+	return gr.Service == ne.Service && gr.Model == ne.Model && !slices.Contains(ne.Exclude, gr)
 }
 
 // Opens returns after what time the first group should take the request, if all of them take
 // none now because of what their heads say, and 0 otherwise.
-func (ta *Table) Opens(ne Need, now time.Time) time.Duration {
+func (ta *Table) WaitTime(ne Request, now time.Time) time.Duration {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ne.Except = nil
+	ne.Exclude = nil
 	return ta.opens(ne, now)
 }
 
-func (ta *Table) opens(ne Need, now time.Time) time.Duration {
+func (ta *Table) opens(ne Request, now time.Time) time.Duration {
 	var heads []catalog.Instance
 	for _, gr := range ta.byName {
 		if gr.takes(ne) {
@@ -285,7 +285,7 @@
 func opens(reg *backpressure.Register, lives []catalog.Instance, now time.Time) time.Duration {
 	first := time.Duration(0)
 	for i, li := range lives {
-		wait, known := reg.Opens(li, now)
+		wait, known := reg.WaitTime(li, now)
 		switch {
 		case !known:
 			wait = againElsewhere
@@ -343,17 +343,17 @@
 	}
 	best := cands[0]
 	for _, ca := range cands[1:] {
-		if ca.Full == best.Full && ca.First < best.First || best.Full && !ca.Full {
+		if ca.Full == best.Full && ca.FirstEvent < best.FirstEvent || best.Full && !ca.Full {
 			best = ca
 		}
 	}
 	return best
 }
 
-func (ta *Table) begin(ca candidate, ne Need, cancel context.CancelCauseFunc, now time.Time) *Ticket {
+func (ta *Table) begin(ca candidate, ne Request, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
-	ta.Backpressure.Sent(gr.head(), now)
-	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Reading: ne.Prompt}, cancel: cancel, sent: now}
+	ta.Backpressure.RecordSent(gr.head(), now)
+	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Prefill: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.stated = ca.stated
 	}
--- a/internal/core/dispatch/waits.go
+++ b/internal/core/dispatch/waits.go
@@ -10,7 +10,7 @@
 // another daemon, and an attempt does not say whether it is the first. But each
 // tells how long the caller will still wait, and first attempts on a route all
 // tell about the same.
-type Waits struct {
+type WaitEstimator struct {
 	mu     sync.Mutex
 	routes map[string]*patiences
 }
@@ -40,7 +40,7 @@
 // Before returns how long the caller of a request has waited already, and notes
 // how long it will wait still. It is 0 for first attempts. timeout is the route's, for
 // which callers are taken to wait until their own times are known.
-func (wa *Waits) Before(route string, patience, timeout time.Duration) time.Duration {
+func (wa *WaitEstimator) ElapsedWait(route string, patience, timeout time.Duration) time.Duration {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	pa := wa.routes[route]
--- a/internal/core/dispatch/waits_test.go
+++ b/internal/core/dispatch/waits_test.go
@@ -10,7 +10,7 @@
 // that the answer will be late whatever it does, or it treats the request like one
 // that can still be in time and makes others late.
 func TestWaits(t *testing.T) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	first, short := 5*time.Second, 2*time.Second
 	tests := []struct {
 		name     string
@@ -24,19 +24,19 @@
 		{"a first attempt of a less patient kind of caller", short, 0},
 		{"one of them that comes back", short - time.Second, time.Second},
 	}
-	if got := wa.Before("route", first-time.Second, 0); got != 0 {
+	if got := wa.ElapsedWait("route", first-time.Second, 0); got != 0 {
 		t.Errorf("the first request of all: waited %v", got)
 	}
 	for range usualCount {
-		wa.Before("route", first, first)
-		wa.Before("route", short, first)
+		wa.ElapsedWait("route", first, first)
+		wa.ElapsedWait("route", short, first)
 	}
 	for _, tc := range tests {
-		if got := wa.Before("route", tc.patience, first); got != tc.want {
+		if got := wa.ElapsedWait("route", tc.patience, first); got != tc.want {
 			t.Errorf("%s: waited %v, want %v", tc.name, got, tc.want)
 		}
 	}
-	if got := wa.Before("other", first-time.Second, 0); got != 0 {
+	if got := wa.ElapsedWait("other", first-time.Second, 0); got != 0 {
 		t.Errorf("a route of which nothing is known: waited %v", got)
 	}
 }
@@ -56,7 +56,7 @@
 		{"a caller more patient than the route", 2 * timeout, 0},
 	}
 	for _, tc := range tests {
-		if got := new(Waits).Before("route", tc.patience, timeout); got != tc.want {
+		if got := new(WaitEstimator).ElapsedWait("route", tc.patience, timeout); got != tc.want {
 			t.Errorf("%s: waited %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -67,14 +67,14 @@
 func TestWaitsOfUnequalCallers(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for _, most := range []time.Duration{6 * time.Second, 3 * time.Second} {
-		wa, wrong := &Waits{}, 0
+		wa, wrong := &WaitEstimator{}, 0
 		for i := range 400 {
 			patience := scale(most, 1-0.15*rnd.Float64())
 			again := i%3 == 2
 			if again {
 				patience -= time.Second + time.Duration(rnd.Int64N(int64(500*time.Millisecond)))
 			}
-			late := wa.Before("route", patience, 8*time.Second) > 0
+			late := wa.ElapsedWait("route", patience, 8*time.Second) > 0
 			if i >= 2*enoughSeen && late != again {
 				wrong++
 			}
@@ -87,9 +87,9 @@
 
 // Callers name routes only through the configuration, but that changes all day.
 func TestWaitsAreBounded(t *testing.T) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	for i := range 3 * maxRoutes {
-		wa.Before(time.Duration(i).String(), time.Second, time.Second)
+		wa.ElapsedWait(time.Duration(i).String(), time.Second, time.Second)
 	}
 	if len(wa.routes) > maxRoutes {
 		t.Errorf("%d routes are kept", len(wa.routes))
@@ -97,8 +97,8 @@
 }
 
 func BenchmarkWaits(b *testing.B) {
-	wa := &Waits{}
+	wa := &WaitEstimator{}
 	for i := 0; b.Loop(); i++ {
-		wa.Before("route", 5*time.Second-time.Duration(i%3)*time.Millisecond, 5*time.Second)
+		wa.ElapsedWait("route", 5*time.Second-time.Duration(i%3)*time.Millisecond, 5*time.Second)
 	}
 }
--- a/internal/core/gossip/daemon.go
+++ b/internal/core/gossip/daemon.go
@@ -22,7 +22,7 @@
 
 // Forget is how long a dead daemon's document is kept, so that no neighbour
 // that still has an older one brings it back.
-const Forget = 10 * time.Minute
+const DeadRetention = 10 * time.Minute
 
 // Daemon describes one daemon to the others. Its author is the daemon itself,
 // or whoever found it dead; the daemon answers a false report of its death
--- a/internal/core/permit/permit.go
+++ b/internal/core/permit/permit.go
@@ -78,7 +78,7 @@
 }
 
 // Forget drops what is known of groups that keep is false for.
-func (tb *Table) Forget(keep func(group string) bool) {
+func (tb *Table) Retain(keep func(group string) bool) {
 	for group := range tb.newest {
 		if !keep(group) {
 			delete(tb.newest, group)
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -29,7 +29,7 @@
 )
 
 // End is the end of a server's process with the requests that it had.
-type End struct {
+type Crash struct {
 	Endpoint string `cbor:"1,keyasint"`
 	// AtMillis is when it was noticed, in milliseconds of Unix time.
 	AtMillis int64         `cbor:"2,keyasint"`
@@ -37,7 +37,7 @@
 }
 
 // Answered is a request that a server has answered whole, and outlived.
-type Answered struct {
+type Completion struct {
 	Request Fingerprint `cbor:"1,keyasint"`
 	// AtMillis is when it was answered, in milliseconds of Unix time.
 	AtMillis int64 `cbor:"2,keyasint"`
@@ -49,7 +49,7 @@
 	// Since is when the last server ended that it took.
 	Since time.Time `json:"since"`
 	// Answered is when it was last answered whole; it counts no more if that is later.
-	Answered time.Time `json:"answered,omitzero"`
+	CompletedAt time.Time `json:"answered,omitzero"`
 }
 
 // Ledger remembers under which requests servers ended, by what this daemon and others have
@@ -107,7 +107,7 @@
 }
 
 // Ended takes in the end of a server, and returns the requests that are quarantined by it.
-func (le *Ledger) Ended(en End, now time.Time) []Fingerprint {
+func (le *Ledger) RecordCrash(en Crash, now time.Time) []Fingerprint {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	at := time.UnixMilli(en.AtMillis)
@@ -138,7 +138,7 @@
 }
 
 // Answered takes in that a request was answered whole.
-func (le *Ledger) Answered(an Answered, now time.Time) {
+func (le *Ledger) RecordCompletion(an Completion, now time.Time) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	re := le.record(an.Request, now)
@@ -157,7 +157,7 @@
 }
 
 // Held returns for how long a request is quarantined still, and whether it is.
-func (le *Ledger) Held(fp Fingerprint, now time.Time) (time.Duration, bool) {
+func (le *Ledger) Quarantined(fp Fingerprint, now time.Time) (time.Duration, bool) {
 	if le.num.Load() == 0 {
 		return 0, false
 	}
@@ -196,7 +196,7 @@
 			continue
 		}
 		re := le.record(en.Request, now)
-		re.answered = later(re.answered, en.Answered)
+		re.answered = later(re.answered, en.CompletedAt)
 		if le.hold(en.Request, re, en.Since, now) {
 			quarantined = append(quarantined, en.Request)
 		}
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -18,16 +18,16 @@
 }
 
 // end is that of a server some time after the beginning, under requests of these names.
-func end(endpoint string, after time.Duration, names ...string) End {
-	en := End{Endpoint: endpoint, AtMillis: begin.Add(after).UnixMilli()}
+func end(endpoint string, after time.Duration, names ...string) Crash {
+	en := Crash{Endpoint: endpoint, AtMillis: begin.Add(after).UnixMilli()}
 	for _, name := range names {
 		en.Requests = append(en.Requests, request(name))
 	}
 	return en
 }
 
-func answered(name string, after time.Duration) Answered {
-	return Answered{request(name), begin.Add(after).UnixMilli()}
+func answered(name string, after time.Duration) Completion {
+	return Completion{request(name), begin.Add(after).UnixMilli()}
 }
 
 // One request ends each server that it comes to, and others are with it there by chance.
@@ -55,10 +55,10 @@
 			for _, note := range tc.notes {
 				le.take(note, begin.Add(now))
 			}
-			if _, held := le.Held(request("crash"), begin.Add(now)); held != tc.want {
+			if _, held := le.Quarantined(request("crash"), begin.Add(now)); held != tc.want {
 				t.Errorf("held: %v, want %v", held, tc.want)
 			}
-			if _, held := le.Held(request("other"), begin.Add(now)); held {
+			if _, held := le.Quarantined(request("other"), begin.Add(now)); held {
 				t.Error("a request is held that was there by chance")
 			}
 		})
@@ -68,10 +68,10 @@
 // take takes in an end or an answer.
 func (le *Ledger) take(note any, now time.Time) {
 	switch no := note.(type) {
-	case End:
-		le.Ended(no, now)
-	case Answered:
-		le.Answered(no, now)
+	case Crash:
+		le.RecordCrash(no, now)
+	case Completion:
+		le.RecordCompletion(no, now)
 	}
 }
 
@@ -80,14 +80,14 @@
 func TestQuarantineEnds(t *testing.T) {
 	le := &Ledger{}
 	for i := range Limit {
-		le.Ended(end(fmt.Sprint("s", i), 0, "crash"), begin)
+		le.RecordCrash(end(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
 	for _, tc := range []struct {
 		after time.Duration
 		left  time.Duration
 	}{{0, HoldFor}, {time.Hour, HoldFor - time.Hour}, {HoldFor, 0}} {
 		le.Sweep(begin.Add(tc.after))
-		left, held := le.Held(request("crash"), begin.Add(tc.after))
+		left, held := le.Quarantined(request("crash"), begin.Add(tc.after))
 		if left != tc.left || held != (tc.left > 0) {
 			t.Errorf("after %v: held %v for %v, want %v", tc.after, held, left, tc.left)
 		}
@@ -102,15 +102,15 @@
 func TestLedgerIsBounded(t *testing.T) {
 	le := &Ledger{}
 	for i := range Limit {
-		le.Ended(end(fmt.Sprint("s", i), 0, "crash"), begin)
+		le.RecordCrash(end(fmt.Sprint("s", i), 0, "crash"), begin)
 	}
 	for i := range maxRequests + 10 {
-		le.Ended(end(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
+		le.RecordCrash(end(fmt.Sprint("other-", i), time.Second, fmt.Sprint("request-", i)), begin.Add(time.Second))
 	}
 	if num := len(le.requests); num > maxRequests {
 		t.Errorf("%d requests are remembered", num)
 	}
-	if _, held := le.Held(request("crash"), begin.Add(time.Minute)); !held {
+	if _, held := le.Quarantined(request("crash"), begin.Add(time.Minute)); !held {
 		t.Error("a quarantined request is forgotten")
 	}
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -57,7 +57,7 @@
 func (gr *Group) Capacity() int64 { return gr.capacity.Load() }
 
 // Open returns the tokens that this daemon has open on the group.
-func (gr *Group) Open() int64 { return gr.openTokens.Load() }
+func (gr *Group) OpenTokens() int64 { return gr.openTokens.Load() }
 
 // Begin counts a request of that many tokens as sent to the group.
 func (gr *Group) Begin(tokens int64) {
@@ -76,7 +76,7 @@
 const paceShift = 4
 
 // Token counts the time between two tokens of a stream.
-func (gr *Group) Token(gap time.Duration) {
+func (gr *Group) RecordTokenGap(gap time.Duration) {
 	old := gr.pace.Load()
 	if old == 0 {
 		gr.pace.Store(int64(gap))
@@ -123,7 +123,7 @@
 	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int64
 	// Except are groups that have been tried.
-	Except []*Group
+	Exclude []*Group
 }
 
 const (
@@ -231,13 +231,13 @@
 	case TokenAffinity:
 		return ro.pickAffinity(groups, rq)
 	case CurrentWorkload:
-		return least(groups, rq.Except, (*Group).Load)
+		return least(groups, rq.Exclude, (*Group).Load)
 	case Random:
-		return after(groups, rq.Except, rand.IntN(len(groups)))
+		return after(groups, rq.Exclude, rand.IntN(len(groups)))
 	case RoundRobin:
-		return after(groups, rq.Except, int(ro.turn.Add(1)%uint64(len(groups))))
+		return after(groups, rq.Exclude, int(ro.turn.Add(1)%uint64(len(groups))))
 	case LeastRequests:
-		return least(groups, rq.Except, func(gr *Group) int64 {
+		return least(groups, rq.Exclude, func(gr *Group) int64 {
 			return max(gr.requests.Load(), gr.openRequests.Load())
 		})
 	}
@@ -272,8 +272,8 @@
 }
 
 func (ro *Router) pickAffinity(groups []*Group, rq Request) *Group {
-	first := after(groups, rq.Except, rand.IntN(len(groups)))
-	second := after(groups, rq.Except, rand.IntN(len(groups)))
+	first := after(groups, rq.Exclude, rand.IntN(len(groups)))
+	second := after(groups, rq.Exclude, rand.IntN(len(groups)))
 	if first == nil {
 		return nil
 	}
@@ -282,7 +282,7 @@
 		best, bestCost = second, co
 	}
 	cached, part := ro.cached(groups, rq)
-	if cached == nil || slices.Contains(rq.Except, cached) {
+	if cached == nil || slices.Contains(rq.Exclude, cached) {
 		return best
 	}
 	// What the cache saves counts against the load: affinity ends by itself
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -41,7 +41,7 @@
 					gr.Begin(num)
 				}
 				if strings.Contains(strings.Join(tc.except, " "), gr.ID) {
-					rq.Except = append(rq.Except, gr)
+					rq.Exclude = append(rq.Exclude, gr)
 				}
 			}
 			got := ""
@@ -111,7 +111,7 @@
 			pace = 200 * time.Millisecond
 		}
 		for range 100 {
-			gr.Token(pace)
+			gr.RecordTokenGap(pace)
 		}
 	}
 	ro.Update(tas)
--- a/internal/core/rtt/rtt.go
+++ b/internal/core/rtt/rtt.go
@@ -32,6 +32,6 @@
 
 // Limit returns the time within which an answer is to be expected, between the two
 // bounds. It is the lower one before any answer was seen.
-func (es *Estimator) Limit(least, most time.Duration) time.Duration {
+func (es *Estimator) Timeout(least, most time.Duration) time.Duration {
 	return min(most, max(least, es.mean+variations*es.variation))
 }
--- a/internal/core/rtt/rtt_test.go
+++ b/internal/core/rtt/rtt_test.go
@@ -10,7 +10,7 @@
 func TestLimitFollowsAnswers(t *testing.T) {
 	const least, most = 60 * time.Millisecond, 400 * time.Millisecond
 	var es Estimator
-	if got := es.Limit(least, most); got != least {
+	if got := es.Timeout(least, most); got != least {
 		t.Errorf("limit before any answer: %v", got)
 	}
 	steps := []struct {
@@ -28,7 +28,7 @@
 		for range st.num {
 			es.Add(st.took)
 		}
-		if got := es.Limit(least, most); got < st.lo || got > st.hi {
+		if got := es.Timeout(least, most); got < st.lo || got > st.hi {
 			t.Errorf("%s: limit %v, want %v to %v", st.name, got, st.lo, st.hi)
 		}
 	}
--- a/internal/core/steward/answers.go
+++ b/internal/core/steward/answers.go
@@ -8,7 +8,7 @@
 
 // Reported takes in what an endpoint said of itself when it was asked at that
 // time. An order that was answered since may have changed what it said.
-func (co *Core) Reported(id string, re catalog.Report, asked, now time.Time) {
+func (co *Core) HandleReport(id string, re catalog.Report, asked, now time.Time) {
 	vm, ok := co.vms[id]
 	if !ok {
 		return
@@ -41,7 +41,7 @@
 		return
 	}
 	if vm.down {
-		co.note(Event{What: "vm-answers", VM: id})
+		co.note(Event{Kind: "vm-answers", VM: id})
 	}
 	vm.ep = re.Apply(vm.ep)
 	vm.known, vm.down, vm.failures, vm.urgent, vm.unsure, vm.refused = true, false, 0, false, false, false
@@ -70,7 +70,7 @@
 
 // Failed tells that an endpoint did not answer a question in time that was put at
 // that time. The answer may come still.
-func (co *Core) Failed(id, reason string, asked, now time.Time) {
+func (co *Core) HandlePollFailure(id, reason string, asked, now time.Time) {
 	vm := co.unanswered(id, asked)
 	if vm == nil {
 		return
@@ -84,7 +84,7 @@
 		return
 	}
 	if !vm.down {
-		co.note(Event{What: "vm-silent", VM: id, Reason: reason})
+		co.note(Event{Kind: "vm-silent", VM: id, Reason: reason})
 		co.silences[vm.ep.Domain] = now
 	}
 	vm.down, vm.urgent = true, false
@@ -129,7 +129,7 @@
 
 // forget drops a VM that is neither registered nor answers.
 func (co *Core) forget(vm *vm, reason string) {
-	co.note(Event{What: "vm-gone", VM: vm.ep.ID, Reason: reason})
+	co.note(Event{Kind: "vm-gone", VM: vm.ep.ID, Reason: reason})
 	delete(co.vms, vm.ep.ID)
 	co.resort = true
 	co.lost[vm.recalled] = true
@@ -141,14 +141,14 @@
 // Inconclusive tells that a question ran out of time while this machine itself
 // stood still: the answer may have been there. A slow machine that counted such
 // questions took up to 50 sound VMs as down at once, and broke their groups up.
-func (co *Core) Inconclusive(id string, asked, now time.Time) {
+func (co *Core) HandleInconclusivePoll(id string, asked, now time.Time) {
 	vm := co.unanswered(id, asked)
 	if vm == nil {
 		return
 	}
 	vm.unproven++
 	if vm.unproven > maxUnproven {
-		co.Failed(id, "no answer, though this machine was late itself", asked, now)
+		co.HandlePollFailure(id, "no answer, though this machine was late itself", asked, now)
 		return
 	}
 	vm.askBy(now.Add(askInterval))
--- a/internal/core/steward/entries.go
+++ b/internal/core/steward/entries.go
@@ -42,7 +42,7 @@
 // Recall tells of a member that an earlier steward knew and that has no entry, or
 // one of another life. A member without an entry is asked; if it does not answer,
 // its group does not wait for it. One that started again is lost to its group.
-func (co *Core) Recall(gr catalog.Group, me catalog.Member, now time.Time) {
+func (co *Core) RestoreMember(gr catalog.Group, me catalog.Member, now time.Time) {
 	if co.services[gr.Service] == nil {
 		return
 	}
--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -65,12 +65,12 @@
 // deciding tells whether the answer decides if the VM is lost.
 func (vm *vm) deciding() bool { return !vm.down && (vm.urgent || vm.failures > 0) }
 
-func (co *Core) question(vm *vm, now time.Time) Ask {
+func (co *Core) question(vm *vm, now time.Time) Poll {
 	vm.askAt = now.Add(askDownInterval)
 	vm.asking = true
-	as := Ask{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Limit: askMost}
+	as := Poll{ID: vm.ep.ID, Address: vm.ep.Address, Urgent: vm.urgent || vm.failures > 0, Timeout: askMost}
 	if as.Urgent {
-		as.Limit = co.answers.Limit(urgentLeast, askMost)
+		as.Timeout = co.answers.Timeout(urgentLeast, askMost)
 	}
 	return as
 }
@@ -113,7 +113,7 @@
 	if vm == nil || cd.Incarnation.Differs(vm.ep.Incarnation) {
 		return false
 	}
-	if jo, ok := cd.Order.(catalog.Join); vm.down || ok && cd.free && !co.Initial && !vm.has(jo.Model) {
+	if jo, ok := cd.Order.(catalog.Join); vm.down || ok && cd.free && !co.InitialLoads && !vm.has(jo.Model) {
 		vm.busy = false
 		return false
 	}
--- a/internal/core/steward/flight_test.go
+++ b/internal/core/steward/flight_test.go
@@ -64,7 +64,7 @@
 	if len(now) != 1 || now[0].(Command).ID != "c" {
 		t.Fatalf("sent first: %v", now)
 	}
-	co.Done(now[0].(Command), Accepted, time.Unix(1000, 0))
+	co.HandleOutcome(now[0].(Command), Accepted, time.Unix(1000, 0))
 	if now = co.launch(nil); len(now) != 1 || now[0].(Command).ID != "b" {
 		t.Errorf("sent next: %v", now)
 	}
--- a/internal/core/steward/form.go
+++ b/internal/core/steward/form.go
@@ -165,7 +165,7 @@
 			loads++
 		}
 	}
-	if !co.Initial && !co.loads.take(loads) {
+	if !co.InitialLoads && !co.loads.take(loads) {
 		return nil
 	}
 	for _, vm := range do.free[:mo.Size] {
@@ -173,14 +173,14 @@
 	}
 	do.free = do.free[mo.Size:]
 	gr := co.plan(groupPrefix, service, mo.Name, members, now)
-	co.note(Event{What: "group-formed", Group: gr.name, Model: mo.Name, Members: members})
+	co.note(Event{Kind: "group-formed", Group: gr.name, Model: mo.Name, Members: members})
 	return co.rejoin(gr)
 }
 
 func (co *Core) plan(prefix, service, model string, members []string, now time.Time) *group {
 	epoch := co.epoch()
 	gr := &group{name: fmt.Sprintf("%s%d-%d", prefix, co.Term, co.made), epoch: epoch, service: service,
-		model: model, members: members, planned: now, free: co.Initial}
+		model: model, members: members, planned: now, free: co.InitialLoads}
 	co.groups[groupKey{gr.name, epoch}] = gr
 	return gr
 }
--- a/internal/core/steward/hold_test.go
+++ b/internal/core/steward/hold_test.go
@@ -136,7 +136,7 @@
 		}},
 		{"planned leave", func(wo *world) {
 			gr := wo.core.Groups()[0]
-			wo.fleet.Change(gr.Members[1].ID, func(vm *emulator.VM) { vm.Leaving = true })
+			wo.fleet.Update(gr.Members[1].ID, func(vm *emulator.VM) { vm.Leaving = true })
 			wo.runNoticing(3 * time.Second)
 		}},
 	}
@@ -180,7 +180,7 @@
 }
 
 func (wo *world) cut(id string, cut bool) {
-	wo.fleet.Change(id, func(vm *emulator.VM) { vm.Cut = cut })
+	wo.fleet.Update(id, func(vm *emulator.VM) { vm.Unreachable = cut })
 }
 
 // noticeAfter is when daemons notice that streams stand still.
@@ -273,10 +273,10 @@
 	wo.settle(5 * time.Second)
 	gr := wo.groupWithSpare()
 	lost := gr.Members[1]
-	wo.fleet.Change(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
+	wo.fleet.Update(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
 	delete(wo.entries, lost.ID)
 	wo.takeOver()
-	wo.core.Recall(gr, lost, wo.now)
+	wo.core.RestoreMember(gr, lost, wo.now)
 	wo.run(appearPatience - time.Second)
 	if !wo.formedAnew(gr) {
 		t.Error("the group's members serve in no other group")
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -34,7 +34,7 @@
 // doom ends a group. Its members leave before they are used again.
 func (co *Core) doom(gr *group, why string) {
 	gr.doomed = true
-	co.note(Event{What: "group-broken", Group: gr.name, Model: gr.model, Members: gr.members, Reason: why})
+	co.note(Event{Kind: "group-broken", Group: gr.name, Model: gr.model, Members: gr.members, Reason: why})
 }
 
 // broken returns why the group can't serve any more, or "".
@@ -106,14 +106,14 @@
 // mayLoad tells whether the VM may be told to join the group now. Loads that were decided on
 // while they were free are rationed like others once they are not.
 func (co *Core) mayLoad(vm *vm, gr *group) bool {
-	return co.Initial || !gr.free || vm.has(gr.model) || co.loads.take(1)
+	return co.InitialLoads || !gr.free || vm.has(gr.model) || co.loads.take(1)
 }
 
 func isSpare(name string) bool { return (&group{name: name}).spare() }
 
 func (co *Core) command(vm *vm, order catalog.Order) Command {
 	vm.busy = true
-	return Command{ID: vm.ep.ID, Address: vm.ep.Address, Incarnation: vm.ep.Incarnation, Order: order, IfOrders: vm.ep.Orders, free: co.Initial}
+	return Command{ID: vm.ep.ID, Address: vm.ep.Address, Incarnation: vm.ep.Incarnation, Order: order, IfOrders: vm.ep.Orders, free: co.InitialLoads}
 }
 
 // stepWhole opens a group whose members are all ready, and retires one that
@@ -156,7 +156,7 @@
 	if gr.retiring.IsZero() {
 		gr.retiring = now
 		head.askAt = now.Add(retireAsk)
-		co.note(Event{What: "group-retires", Group: gr.name, Model: gr.model, Members: gr.members})
+		co.note(Event{Kind: "group-retires", Group: gr.name, Model: gr.model, Members: gr.members})
 		return nil
 	}
 	idle := head.running == 0 && head.askAt.IsZero() && now.Sub(gr.retiring) > retireAsk
--- a/internal/core/steward/loads.go
+++ b/internal/core/steward/loads.go
@@ -26,12 +26,12 @@
 	var calls []Call
 	calls = append(calls, co.stageWarm(service, doms, now)...)
 	room := len(co.vms)
-	if !co.Initial {
+	if !co.InitialLoads {
 		room = en.LoadsAtOnce - co.loadsUnderWay(service)
 	}
 	for room > 0 {
 		ch := co.bestLoad(service, en, doms, now)
-		if ch == nil || !co.Initial && !co.loads.take(1) {
+		if ch == nil || !co.InitialLoads && !co.loads.take(1) {
 			return calls
 		}
 		room--
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -33,7 +33,7 @@
 	wo.perCall = ownCallTime
 	for range 15 {
 		for _, gr := range before {
-			wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+			wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 		}
 		wo.run(suspectPause)
 		wo.checkKept(before)
@@ -86,9 +86,9 @@
 			wo.slowest = askMost
 			for range 40 {
 				gr := before[wo.rnd.IntN(len(before))]
-				wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+				wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 				wo.run(time.Duration(50+wo.rnd.IntN(150)) * time.Millisecond)
-				wo.core.Advances(gr.Name, gr.Epoch, wo.now)
+				wo.core.HandleProgressReport(gr.Name, gr.Epoch, wo.now)
 				if wo.rnd.IntN(20) == 0 {
 					wo.takeOver()
 					wo.step()
@@ -106,8 +106,8 @@
 	for _, gr := range want {
 		if !hasGroup(have, gr) {
 			for _, ev := range wo.core.Events() {
-				if ev.Group == gr.Name || ev.What == "vm-silent" {
-					wo.t.Log(ev.What, ev.Group, ev.VM, ev.Reason)
+				if ev.Group == gr.Name || ev.Kind == "vm-silent" {
+					wo.t.Log(ev.Kind, ev.Group, ev.VM, ev.Reason)
 				}
 			}
 			wo.t.Fatalf("%s of %s does not serve any more, though no VM was lost; %d of %d groups do", gr.Name, gr.Model, len(have), len(want))
@@ -122,7 +122,7 @@
 	wo := newWorldOf(t, 3, 2, 73, wideModels)
 	wo.settle(4 * time.Second)
 	for _, id := range wo.fleet.IDs() {
-		wo.fleet.Change(id, func(vm *emulator.VM) { vm.Slowness = 1 })
+		wo.fleet.Update(id, func(vm *emulator.VM) { vm.Slowness = 1 })
 	}
 	wo.run(2 * emulator.ReportLag)
 	wo.takeOver()
@@ -147,8 +147,8 @@
 	wo.step()
 	now := old
 	now.Member, now.Orders = nil, old.Orders+1
-	wo.core.Reported(id, now, wo.now, wo.now)
-	wo.core.Reported(id, old, early, wo.now)
+	wo.core.HandleReport(id, now, wo.now, wo.now)
+	wo.core.HandleReport(id, old, early, wo.now)
 	if vm := wo.core.vms[id]; vm.ep.Member != nil || vm.ep.Orders != now.Orders {
 		t.Errorf("the VM counts as a member of %v after %d orders", vm.ep.Member, vm.ep.Orders)
 	}
--- a/internal/core/steward/outcomes.go
+++ b/internal/core/steward/outcomes.go
@@ -8,7 +8,7 @@
 )
 
 // Done tells what came of a command.
-func (co *Core) Done(cd Command, out Outcome, now time.Time) {
+func (co *Core) HandleOutcome(cd Command, out Outcome, now time.Time) {
 	co.orders.underWay = max(0, co.orders.underWay-1)
 	vm, ok := co.vms[cd.ID]
 	if !ok || cd.Incarnation.Differs(vm.ep.Incarnation) {
@@ -72,7 +72,7 @@
 		return askInterval
 	case vm.ep.HasStaged(model):
 		return mo.Warm
-	case co.Initial:
+	case co.InitialLoads:
 		return mo.Load / initialSpeedup
 	}
 	return mo.Load
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -54,7 +54,7 @@
 	}
 	for _, gr := range ex.given {
 		gr.unwanted = true
-		co.note(Event{What: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
+		co.note(Event{Kind: "group-rebalanced", Group: gr.name, Model: gr.model, Members: gr.members, Reason: "for " + ex.to.Name})
 		for _, id := range gr.members {
 			co.vms[id].wanted = ex.to.Name
 		}
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -41,7 +41,7 @@
 		wo.core.SetDemand(demand, wo.now)
 		wo.step()
 		for _, ev := range wo.core.Events() {
-			if ev.What == "group-rebalanced" {
+			if ev.Kind == "group-rebalanced" {
 				num++
 			}
 		}
--- a/internal/core/steward/restart.go
+++ b/internal/core/steward/restart.go
@@ -26,7 +26,7 @@
 // stand still. Orders decided for the earlier life are not counted for this one, and
 // the VM is used only after it has reported.
 func (co *Core) restarted(one *vm, ep catalog.Endpoint, now time.Time) {
-	co.note(Event{What: "vm-restarted", VM: ep.ID})
+	co.note(Event{Kind: "vm-restarted", VM: ep.ID})
 	for _, ke := range co.keys() {
 		if gr := co.groups[ke]; !gr.doomed && slices.Contains(gr.members, ep.ID) {
 			co.doom(gr, "member "+ep.ID+" started again")
--- a/internal/core/steward/restart_test.go
+++ b/internal/core/steward/restart_test.go
@@ -55,7 +55,7 @@
 			wo.restart(id)
 			wo.register()
 			wo.takeOver()
-			wo.core.Recall(gr.Group, lost, wo.now)
+			wo.core.RestoreMember(gr.Group, lost, wo.now)
 		}},
 	}
 	for _, tc := range tests {
@@ -87,7 +87,7 @@
 	old, _ := wo.fleet.Report(id, wo.now)
 	wo.restart(id)
 	wo.step()
-	wo.core.Reported(id, old, asked, wo.now)
+	wo.core.HandleReport(id, old, asked, wo.now)
 	if vm := wo.core.vms[id]; vm.ep.Member != nil || vm.ep.Incarnation == old.Incarnation {
 		t.Errorf("the VM counts as a member of %v in the life %d", vm.ep.Member, vm.ep.Incarnation)
 	}
@@ -102,7 +102,7 @@
 	cd := wo.core.command(vm, catalog.Stage{Model: "small"})
 	wo.restart(cd.ID)
 	wo.register()
-	wo.core.Done(cd, Accepted, wo.now)
+	wo.core.HandleOutcome(cd, Accepted, wo.now)
 	if vm.ep.Orders != 0 {
 		t.Errorf("the new life counts %d orders", vm.ep.Orders)
 	}
@@ -119,7 +119,7 @@
 	vm.ep.Incarnation = 0
 	cd := wo.core.command(vm, catalog.Stage{Model: "small"})
 	wo.core.Register(told, wo.now)
-	wo.core.Done(cd, Refused, wo.now)
+	wo.core.HandleOutcome(cd, Refused, wo.now)
 	if vm.busy {
 		t.Error("the VM waits for an answer that has come")
 	}
@@ -140,9 +140,9 @@
 	wo.settle(5 * time.Second)
 	vm := wo.core.vms[wo.core.Groups()[0].Members[1].ID]
 	cd := wo.core.command(vm, catalog.Leave{Group: "none", Epoch: 1})
-	wo.core.Done(cd, Refused, wo.now)
+	wo.core.HandleOutcome(cd, Refused, wo.now)
 	re, _ := wo.fleet.Report(cd.ID, wo.now)
-	wo.core.Reported(cd.ID, re, wo.now, wo.now)
+	wo.core.HandleReport(cd.ID, re, wo.now, wo.now)
 	if vm.ready() {
 		t.Error("the VM may be sent orders on what was known before the refusal")
 	}
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -65,14 +65,14 @@
 type Call interface{ isCall() }
 
 // Ask is a question for an endpoint's report.
-type Ask struct {
+type Poll struct {
 	ID, Address string
 	// Urgent questions get a short time-out: they decide whether a member of
 	// a serving group is down.
 	Urgent bool
 	// Limit is how long the answer is waited for, counted from when the question is
 	// sent. It then counts as missing, and as an answer all the same when it comes.
-	Limit time.Duration
+	Timeout time.Duration
 }
 
 // Command is an order for an endpoint. It must be refused unless the endpoint
@@ -87,7 +87,7 @@
 	free bool
 }
 
-func (Ask) isCall()     {}
+func (Poll) isCall()    {}
 func (Command) isCall() {}
 
 // Outcome is what came of a command.
@@ -202,10 +202,10 @@
 	// Term numbers the stewards; epochs and names come from it.
 	Term int64
 	// Initial is set until callers have sent requests: loads are then free.
-	Initial  bool
-	services map[string]*catalog.Engine
-	vms      map[string]*vm
-	groups   map[groupKey]*group
+	InitialLoads bool
+	services     map[string]*catalog.Engine
+	vms          map[string]*vm
+	groups       map[groupKey]*group
 	// sorted are the VMs' IDs; resort is set when they may have changed.
 	sorted []string
 	resort bool
@@ -229,14 +229,14 @@
 
 // Event is a change that operators want to read about.
 type Event struct {
-	What, Group, Model, VM, Reason string
+	Kind, Group, Model, VM, Reason string
 	Epoch                          int64
 	Members                        []string
 }
 
 // GroupSound is what an event tells of a group that was suspected of standing
 // still and whose members have all answered since.
-const GroupSound = "group-sound"
+const GroupHealthy = "group-sound"
 
 // New returns a core for a steward of that term.
 func New(term int64, now time.Time) *Core {
--- a/internal/core/steward/suspect_test.go
+++ b/internal/core/steward/suspect_test.go
@@ -11,7 +11,7 @@
 func questions(calls []Call) int {
 	num := 0
 	for _, ca := range calls {
-		if _, ok := ca.(Ask); ok {
+		if _, ok := ca.(Poll); ok {
 			num++
 		}
 	}
@@ -28,7 +28,7 @@
 	gr := wo.core.Groups()[0]
 	asked := 0
 	for daemon := range 68 {
-		wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+		wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 		if daemon%10 == 0 {
 			calls := wo.core.Step(wo.now)
 			asked += questions(calls)
@@ -53,11 +53,11 @@
 			wo.kill(gr.Members[1].ID)
 		}
 		wo.core.Events()
-		wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+		wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 		wo.run(400 * time.Millisecond)
 		sound := 0
 		for _, ev := range wo.core.Events() {
-			if ev.What == GroupSound && ev.Group == gr.Name && ev.Epoch == gr.Epoch {
+			if ev.Kind == GroupHealthy && ev.Group == gr.Name && ev.Epoch == gr.Epoch {
 				sound++
 			}
 		}
@@ -74,11 +74,11 @@
 	wo := newWorld(t, 7, 1, 9)
 	wo.settle(5 * time.Second)
 	gr := wo.core.Groups()[0]
-	wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+	wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 	for range 2 * maxFailures {
 		for _, ca := range wo.core.Step(wo.now) {
-			if as, ok := ca.(Ask); ok {
-				wo.core.Inconclusive(as.ID, wo.now, wo.now)
+			if as, ok := ca.(Poll); ok {
+				wo.core.HandleInconclusivePoll(as.ID, wo.now, wo.now)
 			}
 		}
 		wo.now = wo.now.Add(askInterval)
--- a/internal/core/steward/suspicion.go
+++ b/internal/core/steward/suspicion.go
@@ -8,7 +8,7 @@
 // Suspect asks all members of a group at once, since a daemon finds its streams
 // standing still; own tells that it is the steward's own. Many daemons find so at the
 // same time; they are answered together.
-func (co *Core) Suspect(name string, epoch int64, own bool, now time.Time) {
+func (co *Core) HandleStallReport(name string, epoch int64, own bool, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil {
 		return
@@ -50,14 +50,14 @@
 		late := func(id string) bool { return co.vms[id].heard.Before(gr.suspected) }
 		if !slices.ContainsFunc(gr.members, late) {
 			gr.sound = true
-			co.note(Event{What: GroupSound, Group: gr.name, Epoch: gr.epoch, Model: gr.model})
+			co.note(Event{Kind: GroupHealthy, Group: gr.name, Epoch: gr.epoch, Model: gr.model})
 		}
 	}
 }
 
 // Advances tells that a group's streams go on that a daemon had found standing still.
 // A replica stands still with any of its members, so all of them are alive.
-func (co *Core) Advances(name string, epoch int64, now time.Time) {
+func (co *Core) HandleProgressReport(name string, epoch int64, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil || gr.doomed {
 		return
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -97,7 +97,7 @@
 func (wo *world) takeOver() {
 	wo.term += 7
 	wo.core = New(wo.term, wo.now)
-	wo.core.Initial = wo.fleet.InitialLoads
+	wo.core.InitialLoads = wo.fleet.InitialLoads
 	wo.core.SetServices(wo.cfg)
 	for _, ep := range wo.entries {
 		wo.core.Register(ep, wo.now)
@@ -166,7 +166,7 @@
 
 // kill makes a VM fall silent for good. Its entry lapses later.
 func (wo *world) kill(id string) {
-	wo.fleet.Change(id, func(vm *emulator.VM) { vm.Dead = true })
+	wo.fleet.Update(id, func(vm *emulator.VM) { vm.Dead = true })
 	wo.queue = append(wo.queue, pending{wo.now.Add(lapse), func() {
 		delete(wo.entries, id)
 		wo.core.Unregister(id, wo.now)
@@ -184,7 +184,7 @@
 	}
 	for _, gr := range wo.core.Groups() {
 		if !serving[gr.Head().ID] {
-			wo.core.Suspect(gr.Name, gr.Epoch, false, wo.now)
+			wo.core.HandleStallReport(gr.Name, gr.Epoch, false, wo.now)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 func (wo *world) execute(calls []Call) {
 	for _, ca := range calls {
 		switch ca := ca.(type) {
-		case Ask:
+		case Poll:
 			wo.ask(ca)
 		case Command:
 			wo.command(ca)
@@ -200,17 +200,17 @@
 	}
 }
 
-func (wo *world) ask(as Ask) {
+func (wo *world) ask(as Poll) {
 	asked := wo.now
 	wo.asked++
 	re, ok := wo.fleet.Report(as.ID, wo.now)
 	ok = ok && wo.rnd.Float64() >= wo.lostCalls
 	took := wo.callTime()
 	if ok {
-		wo.after(took, func() { wo.core.Reported(as.ID, re, asked, wo.now) })
+		wo.after(took, func() { wo.core.HandleReport(as.ID, re, asked, wo.now) })
 	}
-	if !ok || took > as.Limit {
-		wo.after(as.Limit, func() { wo.core.Failed(as.ID, "silent", asked, wo.now) })
+	if !ok || took > as.Timeout {
+		wo.after(as.Timeout, func() { wo.core.HandlePollFailure(as.ID, "silent", asked, wo.now) })
 	}
 }
 
@@ -232,19 +232,19 @@
 	if wo.rnd.Float64() < wo.lateOrders {
 		late := 2*time.Second + time.Duration(wo.rnd.Int64N(int64(10*time.Second)))
 		wo.queue = append(wo.queue, pending{wo.now.Add(late), func() { wo.fleet.Order(cd.ID, cd.Order, cd.IfOrders, wo.now) }})
-		wo.after(orderLimit, func() { wo.core.Done(cd, Unanswered, wo.now) })
+		wo.after(orderLimit, func() { wo.core.HandleOutcome(cd, Unanswered, wo.now) })
 		return
 	}
 	status := wo.fleet.Order(cd.ID, cd.Order, cd.IfOrders, wo.now)
 	if status == 0 || wo.rnd.Float64() < wo.lostAnswers {
-		wo.after(orderLimit, func() { wo.core.Done(cd, Unanswered, wo.now) })
+		wo.after(orderLimit, func() { wo.core.HandleOutcome(cd, Unanswered, wo.now) })
 		return
 	}
 	out := Refused
 	if status == http.StatusOK || status == http.StatusAccepted {
 		out = Accepted
 	}
-	wo.after(wo.callTime(), func() { wo.core.Done(cd, out, wo.now) })
+	wo.after(wo.callTime(), func() { wo.core.HandleOutcome(cd, out, wo.now) })
 }
 
 // serving counts the groups that serve, by model.
@@ -257,5 +257,5 @@
 func (wo *world) settle(dur time.Duration) {
 	wo.run(dur)
 	wo.fleet.InitialLoads = false
-	wo.core.Initial = false
+	wo.core.InitialLoads = false
 }
--- a/internal/daemon/act.go
+++ b/internal/daemon/act.go
@@ -46,15 +46,15 @@
 		return da.fetchConfig(ctx, ac)
 	case control.ReadConfig:
 		return da.readConfig(ctx, ac)
-	case control.Announce:
+	case control.BroadcastRevocation:
 		da.announce(ctx, ac)
-	case control.PullSightings:
+	case control.PullObservations:
 		return da.pullSightings(ctx, ac)
 	case control.AcquireLease:
 		return da.acquireLease(ctx)
 	case control.RenewLease:
 		return da.renewLease(ctx, ac)
-	case control.DropLease:
+	case control.ReleaseLease:
 		return da.dropLease(ac)
 	case control.ReadDomains:
 		return da.readDomains(ctx, ac)
@@ -102,7 +102,7 @@
 func (da *Daemon) fetchConfig(ctx context.Context, ac control.FetchConfig) control.Event {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	ev := control.ConfigArrived{Source: control.FlyPeerConfig}
+	ev := control.ConfigArrived{Source: control.SourcePeerConfig}
 	var an control.ConfigAnswer
 	if err := da.node.Call(ctx, ac.Peer, peer.ConfigRequest{After: ac.After}, &an); err != nil {
 		return ev
@@ -122,7 +122,7 @@
 // readConfig reads the configuration from the platform. The steward's reads
 // wait for a change, so that one watch serves a whole data center.
 func (da *Daemon) readConfig(ctx context.Context, ac control.ReadConfig) control.Event {
-	ev := control.ConfigArrived{Source: control.FlyPlatformConfig}
+	ev := control.ConfigArrived{Source: control.SourcePlatformConfig}
 	hd, rev, err := da.chain.Head(ctx)
 	if err == nil && ac.Wait && hd.Revision <= ac.After {
 		err = da.platform.Watch(ctx, "config/head", rev, watchTime)
@@ -135,7 +135,7 @@
 		_ = da.Clock.Sleep(ctx, watchRetry)
 		return ev
 	}
-	up, err := da.chain.After(ctx, hd, ac.After)
+	up, err := da.chain.UpdateSince(ctx, hd, ac.After)
 	if err != nil {
 		da.Log.Warn("Config: the chain could not be read.", "revision", hd.Revision, "error", err)
 		_ = da.Clock.Sleep(ctx, watchRetry)
@@ -145,19 +145,19 @@
 	return ev
 }
 
-func (da *Daemon) announce(ctx context.Context, ac control.Announce) {
+func (da *Daemon) announce(ctx context.Context, ac control.BroadcastRevocation) {
 	for _, addr := range ac.Peers {
 		go func() {
 			// A daemon that can't be told loses the permit by time.
-			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.Done{})
+			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.EmptyAnswer{})
 		}()
 	}
 }
 
-func (da *Daemon) pullSightings(ctx context.Context, ac control.PullSightings) control.Event {
-	ev := control.SightingsArrived{Daemon: ac.Daemon, SentAt: da.Clock.Now()}
-	var an control.SightingsAnswer
-	if err := da.node.Call(ctx, ac.Peer, peer.SightingsRequest{Since: ac.Since}, &an); err == nil {
+func (da *Daemon) pullSightings(ctx context.Context, ac control.PullObservations) control.Event {
+	ev := control.ObservationsArrived{Daemon: ac.Daemon, SentAt: da.Clock.Now()}
+	var an control.ObservationsAnswer
+	if err := da.node.Call(ctx, ac.Peer, peer.ObservationsRequest{Since: ac.Since}, &an); err == nil {
 		ev.Answer = &an
 	}
 	return ev
@@ -185,7 +185,7 @@
 	epoch, err := da.platform.Put(ctx, da.leaseKey(), raw, 0, lease)
 	if err == nil {
 		da.Log.Info("Steward: this daemon holds the lease.", "epoch", epoch)
-		return control.LeaseWon{Lease: lease, Epoch: epoch, SentAt: sentAt}
+		return control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: sentAt}
 	}
 	// Whether another holds the key or the answer was lost: the fresh lease is
 	// not used, and what it may hold goes with it.
@@ -211,7 +211,7 @@
 	return control.LeaseFailed{SentAt: sentAt}
 }
 
-func (da *Daemon) dropLease(ac control.DropLease) control.Event {
+func (da *Daemon) dropLease(ac control.ReleaseLease) control.Event {
 	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
 	// A lease that can't be revoked lapses.
@@ -258,12 +258,12 @@
 	defer cancel()
 	raw, err := json.Marshal(ac.Domain)
 	if err != nil {
-		return control.DomainUncertain{Name: ac.Domain.Name}
+		return control.DomainWriteUnconfirmed{Name: ac.Domain.Name}
 	}
 	rev, err := da.platform.Put(ctx, control.DomainKey(da.Settings.DataCenter, ac.Domain.Name), raw, ac.IfRevision, "")
 	if err != nil {
 		da.Log.Warn("Steward: an assignment was not written.", "domain", ac.Domain.Name, "error", strings.TrimSpace(err.Error()))
-		return control.DomainUncertain{Name: ac.Domain.Name}
+		return control.DomainWriteUnconfirmed{Name: ac.Domain.Name}
 	}
 	return control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}}
 }
@@ -274,21 +274,21 @@
 	var err error
 	switch req := req.(type) {
 	case peer.ClaimRequest:
-		return da.claims.Local(ctx, req.Op), nil
+		return da.claims.DoLocal(ctx, req.Op), nil
 	case peer.RevokeRequest:
 		da.loop.Post(control.Revoked{Group: req.Group, Fence: req.Fence})
-		return peer.Done{}, nil
+		return peer.EmptyAnswer{}, nil
 	case peer.PullRequest:
 		if req.From != "" {
-			da.loop.Post(control.Asked{Peer: req.From, Revision: req.Revision})
+			da.loop.Post(control.PullReceived{Peer: req.From, Revision: req.Revision})
 		}
 		da.loop.ask(ctx, func() { answer = da.loop.core.PullAt(da.Clock.Now()) })
 	case peer.DocsRequest:
 		da.loop.ask(ctx, func() { answer = peer.DocsAnswer{Docs: da.loop.core.Newer(req.Have)} })
 	case peer.ConfigRequest:
 		da.loop.ask(ctx, func() { answer, err = da.loop.core.ConfigAfter(req.After) })
-	case peer.SightingsRequest:
-		da.loop.ask(ctx, func() { answer = da.loop.core.SightingsAt(da.Clock.Now(), req.Since) })
+	case peer.ObservationsRequest:
+		da.loop.ask(ctx, func() { answer = da.loop.core.ObservationsAt(da.Clock.Now(), req.Since) })
 	}
 	if answer == nil && err == nil {
 		err = errStopping
--- a/internal/daemon/export.go
+++ b/internal/daemon/export.go
@@ -29,7 +29,7 @@
 		return
 	}
 	dc := da.Settings.DataCenter
-	ac := vi.Steward.Account
+	ac := vi.Steward.Stats
 	stranded := fmt.Sprintf(`corianderhub_stranded_accelerator_seconds_total{data_center=%q}`, dc)
 	metrics.GetOrCreateFloatCounter(stranded).Add(gone.Seconds() * float64(ac.Stranded))
 	for spec, down := range ac.Down {
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -94,7 +94,7 @@
 
 // Post implements caller.Control.
 func (lo *loop) Post(ev control.Event) {
-	if _, ok := ev.(control.Answered); ok {
+	if _, ok := ev.(control.ResponseStarted); ok {
 		select {
 		case lo.events <- ev:
 		default:
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -60,7 +60,7 @@
 		}
 		ct.restoreMembers(now)
 	}
-	sh.core.Initial = ct.isInitialStart()
+	sh.core.InitialLoads = ct.isInitialStart()
 	if wait := sh.nextStep.Sub(now); wait > 0 {
 		ct.wake.Reset(wait)
 		return
@@ -82,7 +82,7 @@
 // any request yet. Only then are loads exempt from the weight store's rate limit: after a
 // loss of all daemons the served counters are zero too, but the limit applies.
 func (ct *control) isInitialStart() bool {
-	return ct.da.Settings.Bootstrap && !ct.served && ct.da.front.Served() == 0
+	return ct.da.Settings.Bootstrap && !ct.served && ct.da.front.Received() == 0
 }
 
 // restoreMembers passes members of the last view to a new steward if the store has no entry
@@ -94,7 +94,7 @@
 	for _, gr := range ct.stewardView.Groups {
 		for _, me := range gr.Members {
 			if ep, ok := ct.endpoints[me.ID]; !ok || ep.Incarnation.Differs(me.Incarnation) {
-				ct.lease.core.Recall(gr, me, now)
+				ct.lease.core.RestoreMember(gr, me, now)
 			}
 		}
 	}
@@ -104,13 +104,13 @@
 // announced to the other daemons instead.
 func (ct *control) logEvents(evs []steward.Event) {
 	for _, ev := range evs {
-		if ev.What == steward.GroupSound {
-			ct.healthy.add(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
-			ct.da.table.Sound(ev.Group)
+		if ev.Kind == steward.GroupHealthy {
+			ct.healthy.add(mesh.GroupRef{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
+			ct.da.table.MarkHealthy(ev.Group)
 			continue
 		}
-		metrics.GetOrCreateCounter(`corianderhub_steward_events_total{what="` + ev.What + `"}`).Inc()
-		ct.da.Log.Info("steward: "+ev.What+".", "term", ct.lease.term, "group", ev.Group, "model", ev.Model, "vm", ev.VM,
+		metrics.GetOrCreateCounter(`corianderhub_steward_events_total{what="` + ev.Kind + `"}`).Inc()
+		ct.da.Log.Info("steward: "+ev.Kind+".", "term", ct.lease.term, "group", ev.Group, "model", ev.Model, "vm", ev.VM,
 			"reason", ev.Reason, "members", ev.Members)
 	}
 }
@@ -149,7 +149,7 @@
 	core, term := ct.lease.core, ct.lease.term
 	for _, ca := range calls {
 		switch ca := ca.(type) {
-		case steward.Ask:
+		case steward.Poll:
 			ct.da.spawn(&ct.wg, func(ctx context.Context) { ct.poll(ctx, core, ca) })
 		case steward.Command:
 			ct.da.spawn(&ct.wg, func(ctx context.Context) { ct.command(ctx, core, term, ca) })
@@ -168,7 +168,7 @@
 
 // poll requests an endpoint's report. The report is also used if it arrives after the
 // poll's timeout.
-func (ct *control) poll(ctx context.Context, core *steward.Core, as steward.Ask) {
+func (ct *control) poll(ctx context.Context, core *steward.Core, as steward.Poll) {
 	sentAt := ct.da.Clock.Now()
 	answered, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -178,8 +178,8 @@
 		defer cancel()
 		re, err = ct.da.report(ctx, as.ID, as.Address, lateReportTimeout, as.Urgent)
 	})
-	if ct.da.Clock.Sleep(answered, as.Limit) == nil {
-		late := ct.da.Clock.Now().Sub(sentAt) > as.Limit+timerSlack
+	if ct.da.Clock.Sleep(answered, as.Timeout) == nil {
+		late := ct.da.Clock.Now().Sub(sentAt) > as.Timeout+timerSlack
 		ct.pollFailed(core, as, sentAt, late, "poll timed out")
 		<-answered.Done()
 		if err != nil || ctx.Err() != nil {
@@ -193,19 +193,19 @@
 		ct.pollFailed(core, as, sentAt, false, err.Error())
 		return
 	}
-	ct.withCore(core, func(co *steward.Core, now time.Time) { co.Reported(as.ID, re, sentAt, now) })
+	ct.withCore(core, func(co *steward.Core, now time.Time) { co.HandleReport(as.ID, re, sentAt, now) })
 }
 
 // pollFailed reports a failed poll to the steward's core. If this machine ran late, the
 // poll is inconclusive, since the endpoint may have answered in time. late is set if the
 // poll's own timer fired late; the control loop is checked as well.
-func (ct *control) pollFailed(core *steward.Core, as steward.Ask, sentAt time.Time, late bool, why string) {
+func (ct *control) pollFailed(core *steward.Core, as steward.Poll, sentAt time.Time, late bool, why string) {
 	ct.withCore(core, func(co *steward.Core, now time.Time) {
 		if late || ct.lateSince(sentAt) {
-			co.Inconclusive(as.ID, sentAt, now)
+			co.HandleInconclusivePoll(as.ID, sentAt, now)
 			return
 		}
-		co.Failed(as.ID, why, sentAt, now)
+		co.HandlePollFailure(as.ID, why, sentAt, now)
 	})
 }
 
@@ -233,7 +233,7 @@
 		return 0, nil, err
 	}
 	defer ex.Close()
-	da.front.HeardInCall(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
+	da.front.ApplyControlResponseHeader(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
 	body, err := ex.ReadAll(maxReportBytes)
 	if err != nil {
 		return 0, nil, err
@@ -248,7 +248,7 @@
 func (ct *control) command(ctx context.Context, core *steward.Core, term int64, cd steward.Command) {
 	out, status, err := ct.da.order(ctx, term, cd)
 	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.Summary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", errText(err))
-	ct.withCore(core, func(co *steward.Core, now time.Time) { co.Done(cd, out, now) })
+	ct.withCore(core, func(co *steward.Core, now time.Time) { co.HandleOutcome(cd, out, now) })
 }
 
 // errText returns the text of err, or "" if err is nil.
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -12,10 +12,10 @@
 
 // heartbeatExtra holds the optional parts of a heartbeat.
 type heartbeatExtra struct {
-	stallReports []mesh.Suspect
+	stallReports []mesh.GroupRef
 	// progressReports are groups that were reported as stalled and whose streams advance
 	// again.
-	progressReports []mesh.Suspect
+	progressReports []mesh.GroupRef
 	change          *catalog.Change
 	to              mesh.Audience
 }
@@ -25,10 +25,10 @@
 	now := ct.da.Clock.Now()
 	ct.heartbeatNumber++
 	set := ct.da.Settings
-	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.heartbeatNumber, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Taking: ct.da.accepting(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
-		Gone: ct.departed.recent(now, ct.stewardConfirmedAt(), ct.follows()), Suspects: ex.stallReports, Advancing: ex.progressReports, Change: ex.change,
-		Power: int(set.CPUShare * 1000), Follows: ct.follows()}
+	be := mesh.Heartbeat{IP: set.IP, Started: ct.da.started, Number: ct.heartbeatNumber, Name: set.Name, DataCenter: set.DataCenter,
+		Callers: set.Callers, Accepting: ct.da.accepting(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
+		Departed: ct.departed.recent(now, ct.stewardConfirmedAt(), ct.follows()), StallReports: ex.stallReports, ProgressReports: ex.progressReports, Change: ex.change,
+		MilliCPU: int(set.CPUShare * 1000), FollowsStore: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
 		be.Config = co.Revision
 	}
@@ -37,14 +37,14 @@
 	ct.addPromise(&be)
 	ct.addQuarantine(&be, now)
 	relay := ct.lease.ready() && !ct.da.mesh.Direct()
-	be.Backpressure = ct.da.backpressure.Tell(now, ct.announceFor(), relay)
+	be.Backpressure = ct.da.backpressure.PendingNotices(now, ct.announceFor(), relay)
 	ct.lease.recordHeartbeat(ct.heartbeatNumber)
-	work := mesh.Work{Own: ct.da.table.Own(now)}
+	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.ready() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
-		be.Silent = ct.da.mesh.Silent()
-		be.Sound = ct.healthy.recent(now)
-		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkBut(ip, now) }
+		be.Unresponsive = ct.da.mesh.Unresponsive()
+		be.Healthy = ct.healthy.recent(now)
+		work.Except = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
 		ct.da.Log.Error("control: heartbeat not sent.", "cause", err.Error())
@@ -52,31 +52,31 @@
 }
 
 // handleHeartbeat applies a heartbeat received from another daemon.
-func (ct *control) handleHeartbeat(be mesh.Beat) {
+func (ct *control) handleHeartbeat(be mesh.Heartbeat) {
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
-		ct.da.table.PeerWork(be.IP, be.Work, now)
+		ct.da.table.ApplyPeerWork(be.IP, be.Work, now)
 	case mesh.WorkRelayed:
-		ct.da.table.RelayedWork(be.Work, now)
+		ct.da.table.ApplyRelayedWork(be.Work, now)
 	case mesh.WorkNone:
 	}
 	ct.served = ct.served || be.Served
 	ct.lease.recordPromise(be)
-	ct.applyDepartures(be.Gone, now)
+	ct.applyDepartures(be.Departed, now)
 	if ct.lease.core != nil {
-		for _, su := range be.Suspects {
-			ct.lease.core.Suspect(su.Group, su.Epoch, false, now)
+		for _, su := range be.StallReports {
+			ct.lease.core.HandleStallReport(su.Group, su.Epoch, false, now)
 		}
-		for _, su := range be.Advancing {
-			ct.lease.core.Advances(su.Group, su.Epoch, now)
+		for _, su := range be.ProgressReports {
+			ct.lease.core.HandleProgressReport(su.Group, su.Epoch, now)
 		}
 	}
 	ct.fetchNewerConfig(be)
 	ct.recordDeputy(be, now)
 	ct.applyQuarantine(be, now)
 	ct.applyBackpressure(be.Backpressure, now)
-	if ct.stewardView == nil && be.Follows && be.Taking && !ct.follows() {
+	if ct.stewardView == nil && be.FollowsStore && be.Accepting && !ct.follows() {
 		// There is no steward yet, as after a loss of all daemons. Until there is one,
 		// use the view that a daemon reading the store has built from the entries, so
 		// that the existing groups serve.
@@ -92,8 +92,8 @@
 	}
 	ct.steward, ct.lastStewardHeartbeat = be, now
 	ct.da.mesh.SetSteward(be.IP)
-	for _, su := range be.Sound {
-		ct.da.table.Sound(su.Group)
+	for _, su := range be.Healthy {
+		ct.da.table.MarkHealthy(su.Group)
 	}
 	ct.confirm(now.Add(-be.Age - heartbeatLatency))
 	if ct.stewardView == nil || be.Term > ct.stewardView.Term || be.Term == ct.stewardView.Term && be.View > ct.stewardView.Sequence {
@@ -102,16 +102,16 @@
 }
 
 // applyBackpressure applies backpressure notices received from another daemon.
-func (ct *control) applyBackpressure(notices []backpressure.Word, now time.Time) {
-	for _, li := range ct.da.backpressure.Hear(notices, now) {
+func (ct *control) applyBackpressure(notices []backpressure.Notice, now time.Time) {
+	for _, li := range ct.da.backpressure.ApplyNotices(notices, now) {
 		ct.endpointLeaving(li)
 	}
 }
 
 // syncBackpressure exchanges all backpressure notices with a new steward. Either side may
 // have just started and lack notices that the other has.
-func (ct *control) syncBackpressure(be mesh.Beat) {
-	ct.da.backpressure.Retell()
+func (ct *control) syncBackpressure(be mesh.Heartbeat) {
+	ct.da.backpressure.ResendNotices()
 	ct.fetch("backpressure", func(ctx context.Context) func() {
 		notices, err := ct.da.peers.Backpressure(ctx, be.IP)
 		if err != nil {
@@ -125,7 +125,7 @@
 // applyViewUpdate brings the view up to the steward's new one. It applies the change sent
 // with the heartbeat if that matches the current view, and fetches the whole view
 // otherwise.
-func (ct *control) applyViewUpdate(be mesh.Beat) {
+func (ct *control) applyViewUpdate(be mesh.Heartbeat) {
 	if be.Change != nil {
 		if next := ct.stewardView.Apply(be.Change); next != nil {
 			ct.applyView(next)
@@ -139,7 +139,7 @@
 const heartbeatLatency = 10 * time.Millisecond
 
 // fetchNewerConfig fetches the sender's configuration if it is newer than this daemon's.
-func (ct *control) fetchNewerConfig(be mesh.Beat) {
+func (ct *control) fetchNewerConfig(be mesh.Heartbeat) {
 	co := ct.da.config.Load()
 	if be.Config == 0 || co != nil && co.Revision >= be.Config {
 		return
@@ -155,7 +155,7 @@
 }
 
 // fetchView fetches the whole view of the heartbeat's sender.
-func (ct *control) fetchView(be mesh.Beat) {
+func (ct *control) fetchView(be mesh.Heartbeat) {
 	ct.fetch("view", func(ctx context.Context) func() {
 		vi, err := ct.da.peers.View(ctx, be.IP)
 		if err != nil {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -103,7 +103,7 @@
 
 	// steward is the last heartbeat from the steward with the highest term;
 	// lastStewardHeartbeat is when it arrived.
-	steward              mesh.Beat
+	steward              mesh.Heartbeat
 	lastStewardHeartbeat time.Time
 	wg                   sync.WaitGroup
 	// misroutedAt is when a misrouted request was last logged.
@@ -217,13 +217,13 @@
 	ct.logTotals(now)
 	if now.After(ct.nextSweep) {
 		ct.nextSweep = now.Add(sweepInterval)
-		ct.da.pool.Sweep()
+		ct.da.pool.CloseExpired()
 		ct.crashChecks.sweep(now)
 		ct.da.quarantine.Sweep(now)
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetDelay(ct.da.mesh.LoadDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.ReportDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -234,8 +234,8 @@
 func (ct *control) shareBudgets() {
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
-	ct.da.front.SetDaemons(num)
-	ct.da.table.SetDaemons(num)
+	ct.da.front.SetDaemonCount(num)
+	ct.da.table.SetDaemonCount(num)
 }
 
 // shareLimits sets the daemons among which the endpoints' limits are divided.
@@ -245,7 +245,7 @@
 		accepting = append(accepting, ct.da.Settings.IP)
 	}
 	for _, pe := range ct.da.mesh.Alive() {
-		if pe.Taking {
+		if pe.Accepting {
 			accepting = append(accepting, pe.IP)
 		}
 	}
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -33,9 +33,9 @@
 }
 
 // receiveFromAll delivers a heartbeat from each of the other 39 daemons.
-func (ct *control) receiveFromAll(number uint64, be mesh.Beat) {
+func (ct *control) receiveFromAll(number uint64, be mesh.Heartbeat) {
 	for i := range 39 {
-		be.IP, be.DataCenter, be.Number, be.Power = fmt.Sprint("10.0.0.", i+1), fmt.Sprint("dc-", i%2), number, 192
+		be.IP, be.DataCenter, be.Number, be.MilliCPU = fmt.Sprint("10.0.0.", i+1), fmt.Sprint("dc-", i%2), number, 192
 		ct.da.mesh.Accept(be)
 	}
 }
--- a/internal/entry/deputies.go
+++ b/internal/entry/deputies.go
@@ -67,9 +67,9 @@
 // recordDeputy records the confirmation time of a daemon in the same data centre that
 // follows the store. It counts only if this daemon has the same or a newer configuration.
 // The departures that the deputy has seen are part of the same heartbeat.
-func (ct *control) recordDeputy(be mesh.Beat, now time.Time) {
+func (ct *control) recordDeputy(be mesh.Heartbeat, now time.Time) {
 	co := ct.da.config.Load()
-	if !be.Follows || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
+	if !be.FollowsStore || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
 		return
 	}
 	ct.mu.Lock()
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -13,14 +13,14 @@
 // deputies as long as they report the store's current state and no newer configuration than
 // the daemon has.
 func TestDeputies(t *testing.T) {
-	fresh := mesh.Beat{IP: "10.0.0.1", DataCenter: "dc-0", Follows: true, Config: 5}
+	fresh := mesh.Heartbeat{IP: "10.0.0.1", DataCenter: "dc-0", FollowsStore: true, Config: 5}
 	newer, elsewhere, idle := fresh, fresh, fresh
-	newer.Config, elsewhere.DataCenter, idle.Follows = 6, "dc-1", false
+	newer.Config, elsewhere.DataCenter, idle.FollowsStore = 6, "dc-1", false
 	tests := []struct {
 		name  string
 		power int
 		// received is the heartbeat received from a deputy after staleAfter.
-		received *mesh.Beat
+		received *mesh.Heartbeat
 		// atOnce and later are whether the daemon follows the store immediately, and
 		// after deputyTimeout.
 		atOnce, later bool
@@ -39,7 +39,7 @@
 			ct.confirmed = cl.Now()
 			ct.deputyConfirmed = cl.Now()
 			cl.Advance(staleAfter + time.Millisecond)
-			ct.receiveFromAll(1, mesh.Beat{})
+			ct.receiveFromAll(1, mesh.Heartbeat{})
 			if tc.received != nil {
 				ct.recordDeputy(*tc.received, cl.Now())
 			}
@@ -48,7 +48,7 @@
 				t.Errorf("follows immediately: got %v, want %v", got, tc.atOnce)
 			}
 			cl.Advance(deputyTimeout)
-			ct.receiveFromAll(2, mesh.Beat{})
+			ct.receiveFromAll(2, mesh.Heartbeat{})
 			ct.stepFollowing(cl.Now())
 			if got := ct.follows(); got != tc.later {
 				t.Errorf("follows after %v: got %v, want %v", deputyTimeout, got, tc.later)
@@ -68,7 +68,7 @@
 		ct, cl := newTestControl(800)
 		ct.da.Settings.IP, ct.da.mesh.IP = tc.ip, tc.ip
 		ct.confirmed = cl.Now().Add(-staleAfter)
-		ct.receiveFromAll(1, mesh.Beat{})
+		ct.receiveFromAll(1, mesh.Heartbeat{})
 		ct.joined = true
 		cl.Advance(time.Millisecond)
 		ct.stepFollowing(cl.Now())
@@ -91,13 +91,13 @@
 	cl.Advance(time.Minute)
 	ct.confirmed = cl.Now()
 	cl.Advance(staleAfter + time.Millisecond)
-	ct.receiveFromAll(1, mesh.Beat{})
+	ct.receiveFromAll(1, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store before deputyTimeout")
 	}
 	cl.Advance(deputyTimeout)
-	ct.receiveFromAll(2, mesh.Beat{})
+	ct.receiveFromAll(2, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
 		t.Error("does not follow the store although the deputies are unresponsive")
@@ -151,13 +151,13 @@
 	ct, cl := newTestControl(192)
 	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
 	cl.Advance(time.Minute)
-	ct.receiveFromAll(1, mesh.Beat{})
+	ct.receiveFromAll(1, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
 		t.Fatal("does not follow the store although no heartbeat was received")
 	}
 	ct.confirmed = cl.Now()
-	ct.recordDeputy(mesh.Beat{IP: "10.0.0.2", DataCenter: "dc-0", Follows: true, Config: 5}, cl.Now())
+	ct.recordDeputy(mesh.Heartbeat{IP: "10.0.0.2", DataCenter: "dc-0", FollowsStore: true, Config: 5}, cl.Now())
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store although a deputy does")
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -36,7 +36,7 @@
 
 // checkCrash checks whether the endpoint that closed a connection has crashed. The returned
 // channel is closed once the result is known.
-func (ct *control) checkCrash(bo front.BrokenOff) <-chan struct{} {
+func (ct *control) checkCrash(bo front.Disconnect) <-chan struct{} {
 	known := make(chan struct{})
 	ct.post(func() { ct.handleBrokenOff(bo, known) })
 	return known
@@ -45,7 +45,7 @@
 // handleBrokenOff starts a crash check, or joins the running one, after an endpoint closed
 // the connection of a request. Endpoints also truncate or lose answers, or close
 // connections beyond a limit, without crashing; requests are not blamed for that.
-func (ct *control) handleBrokenOff(bo front.BrokenOff, known chan struct{}) {
+func (ct *control) handleBrokenOff(bo front.Disconnect, known chan struct{}) {
 	now := ct.da.Clock.Now()
 	ec := ct.crashChecks[bo.Endpoint]
 	switch {
@@ -65,7 +65,7 @@
 }
 
 // runCrashCheck checks after a short delay whether an endpoint has crashed.
-func (ct *control) runCrashCheck(ctx context.Context, bo front.BrokenOff, ec *crashCheck) {
+func (ct *control) runCrashCheck(ctx context.Context, bo front.Disconnect, ec *crashCheck) {
 	if ct.da.Clock.Sleep(ctx, crashCheckDelay) != nil {
 		return
 	}
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -186,7 +186,7 @@
 	ct.da.Log.Info("control: endpoint restarted.", "endpoint", ep.ID, "service", ep.Service,
 		"incarnation", ep.Incarnation, "before", had.Incarnation, "revision", ep.Revision)
 	ct.newDeparture = ct.departed.add(had.Instance(), ct.da.Clock.Now()) || ct.newDeparture
-	ct.da.pool.Drop(had.Address)
+	ct.da.pool.CloseIdle(had.Address)
 }
 
 // unregister removes an endpoint and records its departure.
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -99,7 +99,7 @@
 		})
 	}
 	items, _, err := fo.ct.da.store.Watch(ctx, fo.prefix, fo.after, watchTimeout)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		fo.ct.da.Log.Info("store: history compacted, reading all items again.", "prefix", fo.prefix)
 		fo.after = 0
 		return nil
--- a/internal/entry/gone_test.go
+++ b/internal/entry/gone_test.go
@@ -88,7 +88,7 @@
 	cl.Advance(time.Second)
 	ct.applyDepartures([]catalog.Instance{{ID: "i-1"}}, cl.Now())
 	applySteward := func(confirmed time.Time) {
-		ct.steward, ct.lastStewardHeartbeat = mesh.Beat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
+		ct.steward, ct.lastStewardHeartbeat = mesh.Heartbeat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
 		ct.departed.recent(cl.Now(), ct.stewardConfirmedAt(), false)
 		ct.updateView()
 	}
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -69,7 +69,7 @@
 
 // addDaemons adds discovered daemons to the mesh.
 func (ct *control) addDaemons(ips []string) {
-	ct.da.mesh.Know(ips)
+	ct.da.mesh.AddPeers(ips)
 	ct.post(func() {
 		ct.joined = true
 		ct.shareBudgets()
@@ -86,7 +86,7 @@
 			seeds = append(seeds, host)
 		}
 	}
-	ct.da.mesh.Know(seeds)
+	ct.da.mesh.AddPeers(seeds)
 	for ctx.Err() == nil {
 		for _, ip := range seeds {
 			more, err := ct.da.peers.Daemons(ctx, ip)
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -134,7 +134,7 @@
 // daemons; the IP address breaks ties.
 func (ct *control) precedes(pe mesh.Peer) bool {
 	own := int(ct.da.Settings.CPUShare * 1000)
-	return pe.Power > own || pe.Power == own && pe.IP < ct.da.Settings.IP
+	return pe.MilliCPU > own || pe.MilliCPU == own && pe.IP < ct.da.Settings.IP
 }
 
 const (
@@ -179,7 +179,7 @@
 	if err != nil {
 		ct.da.Log.Info("steward: acquiring the lease failed.", "cause", err.Error())
 		// A write that takes effect late must find its lease ended.
-		_ = ct.da.store.End(ctx, lease) // It expires soon anyway.
+		_ = ct.da.store.Revoke(ctx, lease) // It expires soon anyway.
 		return
 	}
 	renewing, resign := context.WithCancel(ctx)
@@ -199,7 +199,7 @@
 // otherwise groups that lose members would stay unrepaired until the store is back.
 func (ct *control) releaseLease(ctx context.Context, lease int64) {
 	for ctx.Err() == nil {
-		err := ct.da.store.End(ctx, lease)
+		err := ct.da.store.Revoke(ctx, lease)
 		if err == nil || errors.Is(err, platform.ErrNoLease) {
 			return
 		}
@@ -237,7 +237,7 @@
 		}
 	}
 	di := net.Dialer{Timeout: holderProbeTimeout}
-	nc, err := di.DialContext(ctx, "tcp", net.JoinHostPort(ho.IP, strconv.Itoa(ct.da.Settings.InnerPorts[1])))
+	nc, err := di.DialContext(ctx, "tcp", net.JoinHostPort(ho.IP, strconv.Itoa(ct.da.Settings.InternalPorts[1])))
 	if err == nil {
 		nc.Close()
 	}
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -14,10 +14,10 @@
 // steward would replace the endpoint late.
 func TestLeavingInAnswerIsShared(t *testing.T) {
 	sk := newStack(t, 3)
-	sk.setStoreFault(emulator.Silent)
+	sk.setStoreFault(emulator.Unresponsive)
 	id := sk.de.IDs("desk")[0]
 	desk := sk.de.Server(id)
-	desk.SetNeed(emulator.Need{Leaving: true})
+	desk.SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("one daemon receives the notice", func() bool {
 		before := len(desk.Arrivals())
 		sk.ask(sk.daemons[0], "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
@@ -55,13 +55,13 @@
 			head = gr.Members[0].ID
 		}
 	}
-	sk.de.Server(head).SetNeed(emulator.Need{Leaving: true})
+	sk.de.Server(head).SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("its group is no longer used", func() bool {
 		sk.ask(ru, "/draft/", fmt.Sprint("told-", time.Now().UnixNano()))
 		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return uses(ru, head) })
 	})
 	sk.until("all VMs but the leaving one serve again", func() bool {
-		return sk.members(ru) >= sk.de.Models-2 && !uses(ru, head)
+		return sk.members(ru) >= sk.de.ModelServers-2 && !uses(ru, head)
 	})
 	sk.checkInvariants()
 }
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -26,7 +26,7 @@
 	const perSecond = 1.0
 	sk := newStack(t, 4)
 	limited := sk.de.Server(sk.de.IDs("desk")[0])
-	limited.SetNeed(emulator.Need{Limit: fmt.Sprint(perSecond)})
+	limited.SetBackpressure(emulator.Backpressure{Limit: fmt.Sprint(perSecond)})
 	begin := time.Now()
 	for num := 0; time.Since(begin) < limitPropagation+limitWindow; num++ {
 		ru := sk.daemons[num%len(sk.daemons)]
@@ -36,10 +36,10 @@
 		time.Sleep(15 * time.Millisecond)
 	}
 	allowed := limitRatio*perSecond*limitWindow.Seconds() + limitSlack
-	if num := limited.Busiest(limitWindow, begin.Add(limitPropagation)); float64(num) > allowed {
+	if num := limited.PeakArrivals(limitWindow, begin.Add(limitPropagation)); float64(num) > allowed {
 		t.Errorf("%d requests in %s, want at most %.0f", num, limitWindow, allowed)
 	}
-	if num := limited.Busiest(limitWindow, begin.Add(limitPropagation)); num == 0 {
+	if num := limited.PeakArrivals(limitWindow, begin.Add(limitPropagation)); num == 0 {
 		t.Error("the limited endpoint got no requests")
 	}
 }
@@ -56,10 +56,10 @@
 
 // untilAllRestrict lets one daemon receive an endpoint's need, and waits until all daemons
 // apply it, including one that starts afterwards.
-func (sk *stack) untilAllRestrict(id string, need emulator.Need) {
+func (sk *stack) untilAllRestrict(id string, need emulator.Backpressure) {
 	sk.t.Helper()
 	desk := sk.de.Server(id)
-	desk.SetNeed(need)
+	desk.SetBackpressure(need)
 	receiver := sk.daemons[len(sk.daemons)-1]
 	sk.until("one daemon receives the notice", func() bool {
 		sk.ask(receiver, "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
@@ -81,5 +81,5 @@
 // deployment, where notices are relayed by the steward, or after a daemon has just started.
 func TestLimitAmongManyDaemons(t *testing.T) {
 	sk := newLargeStack(t)
-	sk.untilAllRestrict(sk.de.IDs("desk")[0], emulator.Need{Limit: "2"})
+	sk.untilAllRestrict(sk.de.IDs("desk")[0], emulator.Backpressure{Limit: "2"})
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -52,8 +52,8 @@
 		{`corianderhub_daemons{state="alive"}`, func() float64 { return float64(len(da.mesh.Alive()) + 1) }},
 		{`corianderhub_daemons{state="known"}`, func() float64 { return float64(len(da.mesh.Known())) }},
 		{"corianderhub_endpoints_limited", func() float64 { return float64(da.backpressure.NumLimited()) }},
-		{"corianderhub_endpoints_resting", func() float64 { return float64(da.backpressure.Resting(da.Clock.Now())) }},
-		{"corianderhub_requests_in_progress", func() float64 { return float64(da.front.Working()) }},
+		{"corianderhub_endpoints_resting", func() float64 { return float64(da.backpressure.NumBackingOff(da.Clock.Now())) }},
+		{"corianderhub_requests_in_progress", func() float64 { return float64(da.front.InFlight()) }},
 		{"corianderhub_retry_budget_left", da.minRetryBudget},
 		{`corianderhub_group_requests{of="own"}`, func() float64 { return float64(da.table.Requests(false)) }},
 		{`corianderhub_group_requests{of="all"}`, func() float64 { return float64(da.table.Requests(true)) }},
@@ -92,7 +92,7 @@
 	}
 	least, found := 0.0, false
 	for name := range cfg.Services {
-		if left := da.front.Budget.Left(name, da.Clock.Now()); !found || left < least {
+		if left := da.front.Budget.Remaining(name, da.Clock.Now()); !found || left < least {
 			least, found = left, true
 		}
 	}
--- a/internal/entry/promise.go
+++ b/internal/entry/promise.go
@@ -59,7 +59,7 @@
 
 // recordPromise records the promise in another daemon's heartbeat, based on the last
 // heartbeat of this steward that it has received.
-func (sh *stewardship) recordPromise(be mesh.Beat) {
+func (sh *stewardship) recordPromise(be mesh.Heartbeat) {
 	if sh.core == nil {
 		return
 	}
@@ -68,23 +68,23 @@
 		// whatever it has received.
 		sh.promises[be.IP] = promise{be.Started, clock.SinceBoot() - be.Uptime + startupStewardTimeout}
 	}
-	if be.HeardTerm != sh.term {
+	if be.AckTerm != sh.term {
 		return
 	}
-	if at, ok := sh.sentAt[be.HeardNumber]; ok {
-		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardTimeout, be.HeardFor))}
+	if at, ok := sh.sentAt[be.AckNumber]; ok {
+		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardTimeout, be.PromiseDuration))}
 	}
 }
 
 // addPromise adds a promise to a heartbeat and records it, unless this daemon is trying to
 // acquire the lease.
-func (ct *control) addPromise(be *mesh.Beat) {
+func (ct *control) addPromise(be *mesh.Heartbeat) {
 	if ct.campaigning || ct.lastStewardHeartbeat.IsZero() {
 		return
 	}
-	be.HeardTerm, be.HeardNumber = ct.steward.Term, ct.steward.Number
-	be.HeardFor = min(maxPromise, ct.campaignDelay())
-	if until := ct.lastStewardHeartbeat.Add(be.HeardFor); until.After(ct.promisedUntil) {
+	be.AckTerm, be.AckNumber = ct.steward.Term, ct.steward.Number
+	be.PromiseDuration = min(maxPromise, ct.campaignDelay())
+	if until := ct.lastStewardHeartbeat.Add(be.PromiseDuration); until.After(ct.promisedUntil) {
 		ct.promisedUntil = until
 	}
 }
@@ -110,7 +110,7 @@
 // the same name runs at another address, since the machine was replaced.
 func (ct *control) unpromised() []string {
 	now := clock.SinceBoot()
-	peers := ct.da.mesh.HeardWithin(promiseRequiredFor)
+	peers := ct.da.mesh.AliveWithin(promiseRequiredFor)
 	started := make(map[string]int64, len(peers))
 	for _, pe := range peers {
 		started[pe.Name] = max(started[pe.Name], pe.Started)
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -74,8 +74,8 @@
 // announcement is an event that is sent with some heartbeats: either a crash or a
 // completion. at is the time of the event, until the end of its announcement.
 type announcement struct {
-	crash      *quarantine.End
-	completion *quarantine.Answered
+	crash      *quarantine.Crash
+	completion *quarantine.Completion
 	at, until  time.Time
 }
 
@@ -94,7 +94,7 @@
 	crashCount.Inc()
 	ct.da.Log.Info("control: endpoint ended under requests.", "endpoint", endpoint, "requests", len(requests),
 		"contents", requests[:min(maxLoggedRequests, len(requests))])
-	en := quarantine.End{Endpoint: endpoint, AtMillis: now.UnixMilli(), Requests: requests}
+	en := quarantine.Crash{Endpoint: endpoint, AtMillis: now.UnixMilli(), Requests: requests}
 	ct.applyCrash(en, now)
 	ct.announce(announcement{crash: &en, at: now})
 	ct.sendHeartbeat(heartbeatExtra{to: mesh.ToSteward})
@@ -104,14 +104,14 @@
 // crashed before.
 func (ct *control) requestCompleted(fp quarantine.Fingerprint) {
 	now := ct.da.Clock.Now()
-	an := quarantine.Answered{Request: fp, AtMillis: now.UnixMilli()}
-	ct.da.quarantine.Answered(an, now)
+	an := quarantine.Completion{Request: fp, AtMillis: now.UnixMilli()}
+	ct.da.quarantine.RecordCompletion(an, now)
 	ct.announce(announcement{completion: &an, at: now})
 }
 
 // applyCrash applies a crash that this daemon or another one has seen.
-func (ct *control) applyCrash(en quarantine.End, now time.Time) {
-	ct.noteQuarantined(ct.da.quarantine.Ended(en, now), "ends")
+func (ct *control) applyCrash(en quarantine.Crash, now time.Time) {
+	ct.noteQuarantined(ct.da.quarantine.RecordCrash(en, now), "ends")
 }
 
 // noteQuarantined counts and logs newly quarantined requests.
@@ -136,7 +136,7 @@
 }
 
 // announceFor returns how long an event is announced to the other daemons.
-func (ct *control) announceFor() time.Duration { return announceRepeats * ct.da.mesh.ToldWithin() }
+func (ct *control) announceFor() time.Duration { return announceRepeats * ct.da.mesh.WorkInterval() }
 
 // reannounce announces recent events again. In large deployments only the steward counts
 // crashes, and a new one may not have received them.
@@ -153,7 +153,7 @@
 
 // addQuarantine adds the quarantine digest and the current announcements to a heartbeat,
 // newest first, up to maxAnnouncedRequests.
-func (ct *control) addQuarantine(be *mesh.Beat, now time.Time) {
+func (ct *control) addQuarantine(be *mesh.Heartbeat, now time.Time) {
 	be.Quarantine = ct.da.quarantine.Digest(now)
 	total := 0
 	for _, te := range slices.Backward(ct.quarantine.announcements) {
@@ -164,21 +164,21 @@
 			return
 		}
 		if te.crash != nil {
-			be.Ended = append(be.Ended, *te.crash)
+			be.Crashes = append(be.Crashes, *te.crash)
 		} else {
-			be.Answered = append(be.Answered, *te.completion)
+			be.Completions = append(be.Completions, *te.completion)
 		}
 	}
 }
 
 // applyQuarantine applies the announcements in another daemon's heartbeat, and fetches its
 // entries if the digests differ.
-func (ct *control) applyQuarantine(be mesh.Beat, now time.Time) {
-	for _, en := range be.Ended {
+func (ct *control) applyQuarantine(be mesh.Heartbeat, now time.Time) {
+	for _, en := range be.Crashes {
 		ct.applyCrash(en, now)
 	}
-	for _, an := range be.Answered {
-		ct.da.quarantine.Answered(an, now)
+	for _, an := range be.Completions {
+		ct.da.quarantine.RecordCompletion(an, now)
 	}
 	if be.Quarantine == 0 || be.Quarantine == ct.da.quarantine.Digest(now) || now.Sub(ct.quarantine.fetchedAt) < fetchPause {
 		return
@@ -213,12 +213,12 @@
 // are no longer quarantined.
 func (ct *control) quarantineChanges(now time.Time) (puts []quarantine.Entry, deletes []quarantine.Fingerprint) {
 	for fp := range ct.quarantine.stored {
-		if _, held := ct.da.quarantine.Held(fp, now); !held && len(deletes) < maxChanges {
+		if _, held := ct.da.quarantine.Quarantined(fp, now); !held && len(deletes) < maxChanges {
 			deletes = append(deletes, fp)
 		}
 	}
 	for _, en := range ct.da.quarantine.Entries(now) {
-		if _, held := ct.da.quarantine.Held(en.Request, now); held && !ct.quarantine.stored[en.Request] && len(puts) < maxChanges {
+		if _, held := ct.da.quarantine.Quarantined(en.Request, now); held && !ct.quarantine.stored[en.Request] && len(puts) < maxChanges {
 			puts = append(puts, en)
 		}
 	}
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -30,10 +30,10 @@
 
 // crashOnRequest makes model servers crash when they process a request with crashPath.
 func (sk *stack) crashOnRequest() {
-	sk.de.BackAfter = 300 * time.Millisecond
+	sk.de.ReplacementDelay = 300 * time.Millisecond
 	sk.de.SetModelFault(func(req *http.Request) emulator.Fault {
 		if strings.HasPrefix(req.URL.Path, crashPath) {
-			return emulator.Ends
+			return emulator.Crashes
 		}
 		return emulator.None
 	})
@@ -60,7 +60,7 @@
 	sk := newStack(t, 3)
 	sk.crashOnRequest()
 	sk.sendCrashing(12)
-	if num := sk.de.Ended(); num < crashesUntilQuarantine || num > crashesUntilQuarantine+extraCrashes {
+	if num := sk.de.Crashes(); num < crashesUntilQuarantine || num > crashesUntilQuarantine+extraCrashes {
 		t.Errorf("%d servers crashed under one request", num)
 	}
 	sk.checkInvariants()
@@ -79,9 +79,9 @@
 	for num := range sk.daemons {
 		sk.start(num)
 	}
-	before := sk.de.Ended()
+	before := sk.de.Crashes()
 	sk.sendCrashing(4)
-	if num := sk.de.Ended() - before; num > 0 {
+	if num := sk.de.Crashes() - before; num > 0 {
 		t.Errorf("%d more servers crashed, want none", num)
 	}
 }
@@ -106,7 +106,7 @@
 func TestQuarantineWhileStoreUnavailable(t *testing.T) {
 	sk := newStack(t, 3)
 	sk.crashOnRequest()
-	sk.setStoreFault(emulator.Silent)
+	sk.setStoreFault(emulator.Unresponsive)
 	sk.until("quarantined by the daemon that gets the request", func() bool {
 		sk.ask(sk.daemons[0], crashPath, fmt.Sprint("crash-", time.Now().UnixNano()))
 		return sk.daemons[0].da.quarantine.Digest(time.Now()) != 0
@@ -114,7 +114,7 @@
 	for _, ru := range sk.daemons[1:] {
 		sk.until("quarantined by the others", func() bool { return ru.da.quarantine.Digest(time.Now()) != 0 })
 	}
-	sk.setStoreFault(emulator.Sound)
+	sk.setStoreFault(emulator.NoStoreFault)
 	sk.until("the store contains it", func() bool { return len(sk.storedQuarantineKeys()) == 1 })
 }
 
@@ -138,10 +138,10 @@
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.handleBrokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.handleBrokenOff(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
-			_, held := ct.da.quarantine.Held(fp, time.Now())
+			_, held := ct.da.quarantine.Quarantined(fp, time.Now())
 			if want := at.content == "crash" && i == crashesUntilQuarantine-1; held != want {
 				t.Errorf("%s, attempt %d: quarantined %v, want %v", at.content, i+1, held, want)
 			}
@@ -155,14 +155,14 @@
 func TestCrashesAreReannouncedToNewSteward(t *testing.T) {
 	ct, cl := newTestControl(192)
 	for i := range 39 {
-		ct.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
+		ct.da.mesh.AddPeers([]string{fmt.Sprint("10.0.1.", i)})
 	}
 	fp := quarantine.Fingerprint{1}
-	ct.announce(announcement{crash: &quarantine.End{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
+	ct.announce(announcement{crash: &quarantine.Crash{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
 	announced := func() int {
-		var be mesh.Beat
+		var be mesh.Heartbeat
 		ct.addQuarantine(&be, cl.Now())
-		return len(be.Ended)
+		return len(be.Crashes)
 	}
 	if announced() != 1 {
 		t.Fatal("a crash is not announced")
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -11,5 +11,5 @@
 // started.
 func TestRetryAfterAmongManyDaemons(t *testing.T) {
 	sk := newLargeStack(t)
-	sk.untilAllRestrict(sk.de.IDs("desk")[0], emulator.Need{Sheds: true, Rest: "60"})
+	sk.untilAllRestrict(sk.de.IDs("desk")[0], emulator.Backpressure{Sheds: true, RetryAfter: "60"})
 }
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -21,18 +21,18 @@
 // small machines could not process the answers in time.
 func (ct *control) stepStalls(now time.Time) {
 	ct.reportProgress(now)
-	stalled := ct.da.table.Stalled(now)
+	stalled := ct.da.table.StalledGroups(now)
 	if len(stalled) == 0 {
 		return
 	}
 	direct := ct.da.mesh.Direct()
 	ownProbe := direct || ct.lease.core == nil && now.Sub(ct.lastStewardHeartbeat) > stewardLateAfter
-	var stallReports []mesh.Suspect
+	var stallReports []mesh.GroupRef
 	for _, gr := range stalled {
 		ct.da.Log.Info("control: group stands still.", "group", gr.Name, "epoch", gr.Epoch)
-		stallReports = append(stallReports, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+		stallReports = append(stallReports, mesh.GroupRef{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
-			ct.lease.core.Suspect(gr.Name, gr.Epoch, true, now)
+			ct.lease.core.HandleStallReport(gr.Name, gr.Epoch, true, now)
 		}
 		if ownProbe && (direct || ct.probing < maxProbes) {
 			ct.probing++
@@ -52,11 +52,11 @@
 // whose streams advance again. All their members are alive, even if one leaves a poll
 // unanswered.
 func (ct *control) reportProgress(now time.Time) {
-	var progressReports []mesh.Suspect
-	for _, gr := range ct.da.table.Advancing() {
-		progressReports = append(progressReports, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+	var progressReports []mesh.GroupRef
+	for _, gr := range ct.da.table.RecoveredGroups() {
+		progressReports = append(progressReports, mesh.GroupRef{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
-			ct.lease.core.Advances(gr.Name, gr.Epoch, now)
+			ct.lease.core.HandleProgressReport(gr.Name, gr.Epoch, now)
 		}
 	}
 	if len(progressReports) > 0 && ct.lease.core == nil {
@@ -76,7 +76,7 @@
 
 // healthyGroups are groups that the steward found healthy after a stall report, with the
 // end of their announcement.
-type healthyGroups map[mesh.Suspect]time.Time
+type healthyGroups map[mesh.GroupRef]time.Time
 
 // announceHealthyFor is how long a group is announced as healthy, since a heartbeat or two
 // may be lost. It is less than checkAgain in package dispatch, so that an old announcement
@@ -84,11 +84,11 @@
 const announceHealthyFor = 350 * time.Millisecond
 
 // add announces a group as healthy for announceHealthyFor.
-func (sg healthyGroups) add(su mesh.Suspect, now time.Time) { sg[su] = now.Add(announceHealthyFor) }
+func (sg healthyGroups) add(su mesh.GroupRef, now time.Time) { sg[su] = now.Add(announceHealthyFor) }
 
 // recent returns the groups to announce and removes expired ones.
-func (sg healthyGroups) recent(now time.Time) []mesh.Suspect {
-	var recent []mesh.Suspect
+func (sg healthyGroups) recent(now time.Time) []mesh.GroupRef {
+	var recent []mesh.GroupRef
 	for su, until := range sg {
 		if now.After(until) {
 			delete(sg, su)
@@ -115,11 +115,11 @@
 	for range gr.Members {
 		if id := <-lost; id != "" {
 			ct.da.Log.Info("control: group lost a member.", "group", gr.Name, "member", id)
-			ct.da.table.Broken(gr.Name, ct.da.Clock.Now())
+			ct.da.table.MarkBroken(gr.Name, ct.da.Clock.Now())
 			return
 		}
 	}
-	ct.da.table.Sound(gr.Name)
+	ct.da.table.MarkHealthy(gr.Name)
 }
 
 // memberResponds reports whether a member is alive and still belongs to the group.
--- a/internal/entry/steward_test.go
+++ b/internal/entry/steward_test.go
@@ -54,10 +54,10 @@
 func TestLostAnswersOfStore(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	sk.setStoreFault(emulator.LosesAnswers)
+	sk.setStoreFault(emulator.DropsResponses)
 	sk.kill(old)
 	time.Sleep(100 * time.Millisecond)
-	sk.setStoreFault(emulator.Sound)
+	sk.setStoreFault(emulator.NoStoreFault)
 	if next := sk.steward(); next == old {
 		t.Error("the killed daemon is still steward")
 	}
@@ -80,7 +80,7 @@
 	}
 	for _, ru := range sk.daemons {
 		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
-		ru.gate.SetFault(emulator.Sound)
+		ru.gate.SetFault(emulator.NoStoreFault)
 	}
 	sk.until("the lease is held again", func() bool {
 		_, ok := sk.de.Store.Value(stewardKey)
@@ -94,7 +94,7 @@
 func TestUnreachableStewardStops(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	old.gate.SetFault(emulator.Silent)
+	old.gate.SetFault(emulator.Unresponsive)
 	old.da.mesh.Conn.Close()
 	sk.until("another steward", func() bool { return sk.steward() != old })
 	is := make(chan bool, 1)
@@ -120,7 +120,7 @@
 	for _, ru := range sk.daemons {
 		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
 	}
-	sk.setStoreFault(emulator.Sound)
+	sk.setStoreFault(emulator.NoStoreFault)
 	sk.until("another steward", func() bool { return sk.steward() != st })
 	sk.checkInvariants()
 }
--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -14,7 +14,7 @@
 const reasonQuarantined = "quarantined"
 
 // BrokenOff is a request whose endpoint closed the connection before the answer's end.
-type BrokenOff struct {
+type Disconnect struct {
 	Request quarantine.Fingerprint
 	// Endpoint is the endpoint's identifier, Address where it listened.
 	Endpoint, Address string
@@ -39,7 +39,7 @@
 // quarantined tells whether the request is to be sent to no server, and for how long still.
 // Servers end under it: each attempt would cost one more, with all that it serves.
 func (ca *call) quarantined() (time.Duration, bool) {
-	return ca.sv.Quarantine.Held(ca.content, ca.sv.Clock.Now())
+	return ca.sv.Quarantine.Quarantined(ca.content, ca.sv.Clock.Now())
 }
 
 // brokenOff tells of an attempt that failed because its endpoint closed the connection. If
@@ -49,7 +49,7 @@
 	if !http1.PeerClosed(err) && !errors.Is(err, errCutOff) {
 		return
 	}
-	known := ca.sv.OnBrokenOff(BrokenOff{ca.content, endpoint, addr})
+	known := ca.sv.OnDisconnect(Disconnect{ca.content, endpoint, addr})
 	if !ca.sv.Quarantine.Suspected(ca.content) {
 		return
 	}
@@ -63,6 +63,6 @@
 // under it before ended for another reason.
 func (ca *call) outlived() {
 	if ca.sv.Quarantine.Suspected(ca.content) {
-		ca.sv.OnAnswered(ca.content)
+		ca.sv.OnCompletion(ca.content)
 	}
 }
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	if pc.sends > 0 && !pc.sv.Budget.Spend(pc.service, now) {
-		pc.sv.Plain.Dropped(ep)
+		pc.sv.Plain.Release(ep)
 		pc.log.Info("front: not sent again.", "reason", "retry-budget")
 		return nil
 	}
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	defer ex.Close()
-	ca.sv.Heard(ep.Instance(), ex.Response, begin)
+	ca.sv.ApplyResponseHeader(ep.Instance(), ex.Response, begin)
 	body, err := ex.ReadAll(maxAnswer)
 	if err != nil {
 		err = &http1.Error{Verdict: verdict.MayHaveRun, Err: err}
@@ -131,9 +131,9 @@
 	}
 	an := &answer{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	now := ca.sv.Clock.Now()
-	ca.sv.Plain.Answered(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
+	ca.sv.Plain.RecordResponse(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
 	if an.status == http.StatusMisdirectedRequest {
-		ca.sv.OnWrong()
+		ca.sv.OnMisrouted()
 	}
 	ca.log.Debug("front: tried.", "endpoint", ep.ID, "status", an.status, "not-run", an.notRun)
 	return an, nil
@@ -141,10 +141,10 @@
 
 func (ca *call) tryFailed(ctx context.Context, ep *dispatch.PlainEndpoint, err error) {
 	if ca.req.Context().Err() != nil {
-		ca.sv.Plain.Dropped(ep)
+		ca.sv.Plain.Release(ep)
 		return
 	}
-	ca.sv.Plain.Failed(ep, ca.sv.Clock.Now())
+	ca.sv.Plain.RecordFailure(ep, ca.sv.Clock.Now())
 	ca.brokenOff(ctx, ep.ID, ep.Address, err)
 	ca.log.Info("front: attempt failed.", "endpoint", ep.ID, "cause", err.Error())
 }
@@ -159,7 +159,7 @@
 	case pc.state == verdict.NotRun && len(pc.tried) == 0:
 		pc.refuse(pc.noEndpoint())
 	case pc.state == verdict.NotRun:
-		again := max(againBusy, pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()))
+		again := max(againBusy, pc.sv.Plain.WaitTime(pc.service, pc.sv.Clock.Now()))
 		pc.refuse(refusal{status: http.StatusServiceUnavailable, reason: "endpoints-refused", again: again, cause: pc.err})
 	case pc.left() <= 0:
 		pc.refuse(refusal{status: http.StatusGatewayTimeout, reason: "timeout", cause: pc.err})
@@ -171,7 +171,7 @@
 // noEndpoint is the refusal of a request that no endpoint takes.
 func (pc *plainCall) noEndpoint() refusal {
 	re := refusal{status: http.StatusServiceUnavailable, reason: "no-endpoint", again: againNoEndpoint}
-	if again := pc.sv.Plain.Opens(pc.service, pc.sv.Clock.Now()); again > 0 {
+	if again := pc.sv.Plain.WaitTime(pc.service, pc.sv.Clock.Now()); again > 0 {
 		re.reason, re.again = reasonClosed, again
 	}
 	return re
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -43,38 +43,38 @@
 	// Backpressure holds what endpoints say of how much they take.
 	Backpressure *backpressure.Register
 	// OnWrong is called when an endpoint says that it is not the one expected.
-	OnWrong func()
+	OnMisrouted func()
 	// OnLeaving is called when an endpoint has said in an answer that it stops soon.
 	OnLeaving func(catalog.Instance)
 	// Quarantine knows which requests end the servers that run them.
 	Quarantine *quarantine.Ledger
 	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
 	// What it returns is closed once it is known whether the endpoint has ended.
-	OnBrokenOff func(BrokenOff) <-chan struct{}
+	OnDisconnect func(Disconnect) <-chan struct{}
 	// OnAnswered is called when a request was answered whole under which endpoints have
 	// ended.
-	OnAnswered func(quarantine.Fingerprint)
+	OnCompletion func(quarantine.Fingerprint)
 
 	stopping atomic.Bool
 	daemons  atomic.Int64
 	working  atomic.Int64
 	served   atomic.Int64
-	waits    dispatch.Waits
+	waits    dispatch.WaitEstimator
 	// firstAt is when the first request came without a configuration, in Unix nanoseconds.
 	firstAt atomic.Int64
 }
 
 // Stop makes the server tell callers to close their connections.
-func (sv *Server) Stop() { sv.stopping.Store(true) }
+func (sv *Server) SetStopping() { sv.stopping.Store(true) }
 
 // SetDaemons tells how many daemons share the endpoints' connections.
-func (sv *Server) SetDaemons(num int) { sv.daemons.Store(int64(num)) }
+func (sv *Server) SetDaemonCount(num int) { sv.daemons.Store(int64(num)) }
 
 // Working returns the number of requests being handled.
-func (sv *Server) Working() int64 { return sv.working.Load() }
+func (sv *Server) InFlight() int64 { return sv.working.Load() }
 
 // Served returns the number of requests so far.
-func (sv *Server) Served() int64 { return sv.served.Load() }
+func (sv *Server) Received() int64 { return sv.served.Load() }
 
 // call is one request of a caller on its way.
 type call struct {
@@ -147,7 +147,7 @@
 	ca.maxIdle = maxIdle(cfg.Services[ca.service].MaxConns, int(ca.sv.daemons.Load()))
 	ca.deadline = ca.arrived.Add(ca.allowed())
 	if patience, ok := ca.patience(); ok {
-		ca.waited = ca.sv.waits.Before(ca.route.Host+ca.route.Prefix, patience, ca.route.Timeout)
+		ca.waited = ca.sv.waits.ElapsedWait(ca.route.Host+ca.route.Prefix, patience, ca.route.Timeout)
 	}
 	return ca.readBody(cfg)
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -110,7 +110,7 @@
 	}
 	st.tried = append(st.tried, ch.Group)
 	st.choice = ch
-	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.First.Milliseconds(), "fits", ch.Fits)
+	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
 	head := ch.Group.Head()
 	ex, err := st.sv.Pool.Send(part, head.Address, st.request(head.ID))
@@ -120,18 +120,18 @@
 	}
 	if err != nil {
 		if part.Err() == nil && http1.ConnectFailed(err) {
-			st.sv.Table.Unreachable(ch.Group)
+			st.sv.Table.MarkUnreachable(ch.Group)
 		}
 		st.failed(part, ch.Group, err, http1.VerdictOf(err))
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.Heard(head.Instance(), ex.Response, sent)
+	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.other(part, ch, ex, sent)
 	}
 	st.state = verdict.Ran
-	err = st.relay(ex, ti, sent, ch.First)
+	err = st.relay(ex, ti, sent, ch.FirstEvent)
 	if err == nil {
 		st.finish()
 		return ch, true
@@ -179,7 +179,7 @@
 	for {
 		now := st.sv.Clock.Now()
 		ne := st.need(now)
-		ne.Last = !st.started && !until.IsZero() && now.Add(pause).After(until)
+		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(pause).After(until)
 		ch, ti := st.sv.Table.Pick(ne, cancel, now)
 		if ti != nil || now.Add(pause).After(until) || st.sv.Clock.Sleep(ctx, pause) != nil {
 			return ch, ti
@@ -188,9 +188,9 @@
 }
 
 // need is what the request asks of a group now.
-func (st *stream) need(now time.Time) dispatch.Need {
-	ne := dispatch.Need{Service: st.service, Model: st.model, Prompt: st.prompt, Pause: st.route.PauseObjective,
-		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, Wait: min(lateWait, st.left()), Begun: st.started, Except: st.tried}
+func (st *stream) need(now time.Time) dispatch.Request {
+	ne := dispatch.Request{Service: st.service, Model: st.model, Prompt: st.prompt, MaxPause: st.route.PauseObjective,
+		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, MaxWait: min(lateWait, st.left()), Resumed: st.started, Exclude: st.tried}
 	if st.started {
 		// The caller has the first event: what counts now is a short gap.
 		ne.Objective = st.route.PauseObjective
@@ -206,12 +206,12 @@
 		return time.Time{}
 	}
 	ho := st.sv.Table.HoldLate(st.need(now), st.left(), now)
-	if ho.For <= 0 {
+	if ho.Delay <= 0 {
 		return time.Time{}
 	}
-	lateHolds.Update(ho.For.Seconds())
-	_ = st.sv.Clock.Sleep(ctx, ho.For) // The next look at ctx ends the request.
-	return now.Add(ho.Most)
+	lateHolds.Update(ho.Delay.Seconds())
+	_ = st.sv.Clock.Sleep(ctx, ho.Delay) // The next look at ctx ends the request.
+	return now.Add(ho.MaxDelay)
 }
 
 // relay passes events on as they come. It returns nil at the end of a whole
@@ -288,10 +288,10 @@
 
 func (st *stream) finish() {
 	st.outlived()
-	st.sv.Table.Answered(st.choice.Group, st.passed, st.sv.Clock.Now())
+	st.sv.Table.RecordAnswer(st.choice.Group, st.passed, st.sv.Clock.Now())
 	st.log.Info("front: answered.", "outcome", "whole", "status", http.StatusOK, "sends", st.sends, "events", st.passed,
-		"group", st.choice.Group.Name, "first-ms", st.first.Milliseconds(), "predicted-ms", st.choice.First.Milliseconds(),
-		"fits", st.choice.Fits, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.pause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
+		"group", st.choice.Group.Name, "first-ms", st.first.Milliseconds(), "predicted-ms", st.choice.FirstEvent.Milliseconds(),
+		"fits", st.choice.MeetsObjective, "running", int(st.choice.Running), "waited-ms", st.waited.Milliseconds(), "pause-ms", st.pause.Milliseconds(), "ms", st.sv.Clock.Now().Sub(st.arrived).Milliseconds())
 	st.count("passed-2xx")
 }
 
@@ -306,8 +306,8 @@
 	an := &answer{ex.Response.StatusCode, ex.Response.Header, body, notRun(ex.Response)}
 	if an.notRun {
 		if an.status == http.StatusMisdirectedRequest {
-			st.sv.Table.Wrong(gr)
-			st.sv.OnWrong()
+			st.sv.Table.MarkMisrouted(gr)
+			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It has room and takes nothing, so that it would look best again.
 			head := gr.Head()
@@ -364,12 +364,12 @@
 func (st *stream) noGroup(ch dispatch.Choice) {
 	reason := "full"
 	switch {
-	case ch.Closed:
+	case ch.AllLimited:
 		reason = reasonClosed
 	case ch.Groups == 0:
 		reason = "no-group"
 	}
-	st.end(reason, ch.Again)
+	st.end(reason, ch.RetryAfter)
 }
 
 // giveUp ends a request that can't be sent any more.
@@ -384,7 +384,7 @@
 		reason = "timeout"
 	}
 	now := st.sv.Clock.Now()
-	st.end(reason, max(againBusy, ch.Again, st.sv.Table.Opens(st.need(now), now)))
+	st.end(reason, max(againBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.need(now), now)))
 }
 
 // end gives the final answer. A stream that has begun ends by closing the
--- a/internal/mesh/call.go
+++ b/internal/mesh/call.go
@@ -116,12 +116,12 @@
 }
 
 // Backpressure fetches what another daemon knows of what endpoints said.
-func (cl *Client) Backpressure(ctx context.Context, ip string) ([]backpressure.Word, error) {
+func (cl *Client) Backpressure(ctx context.Context, ip string) ([]backpressure.Notice, error) {
 	raw, _, err := cl.get(ctx, ip, PathBackpressure)
 	if err != nil {
 		return nil, err
 	}
-	var words []backpressure.Word
+	var words []backpressure.Notice
 	return words, eris.Wrap(json.Unmarshal(raw, &words), "backpressure")
 }
 
@@ -131,7 +131,7 @@
 	Config       func() (raw []byte, revision int64)
 	Daemons      func() []string
 	Quarantine   func() []quarantine.Entry
-	Backpressure func() []backpressure.Word
+	Backpressure func() []backpressure.Notice
 
 	view, config packed
 }
