--- a/cmd/corianderhub/apply.go
+++ b/cmd/corianderhub/apply.go
@@ -10,12 +10,12 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-const applyUsage = `Puts the declarations in FILE in force, all of them or none.
+const applyUsage = `Applies the declarations in FILE, all of them or none.
 
-Objects that FILE does not name stay as they are; "delete = [...]" at its top
+Objects that FILE does not name stay unchanged; "delete = [...]" at its top
 removes objects. If the outcome is unknown (exit code 4), repeat the command
-with the --operation that was printed: it is applied once, however often it is
-repeated.`
+with the --operation that was printed: an operation is applied once, however
+often the command is repeated.`
 
 type applyCommand struct {
 	ctx context.Context
@@ -52,6 +52,8 @@
 	return nil
 }
 
+// operatorName returns the name of the local user, or "unknown". Daemons store
+// it with the changed objects and name it in conflicts.
 func operatorName() string {
 	us, err := user.Current()
 	if err != nil {
--- a/cmd/corianderhub/check.go
+++ b/cmd/corianderhub/check.go
@@ -10,11 +10,11 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-const checkUsage = `Checks files of declarations and prints everything that is wrong with them.
+const checkUsage = `Checks files of declarations and prints all problems in them.
 
-Without --online the files are checked one on top of the other, starting from
-nothing. With it they are checked on top of the configuration in force.
-Exits with 3 if anything is wrong.`
+Without --online the files are checked one on top of the other, starting from an
+empty configuration. With --online they are checked on top of the configuration
+in force. Exits with 3 if there are problems.`
 
 type checkCommand struct {
 	ctx context.Context
@@ -35,7 +35,7 @@
 			return err
 		}
 		if cc.Online {
-			if err := cc.ask(file, text); err != nil {
+			if err := cc.checkOnline(file, text); err != nil {
 				return err
 			}
 			continue
@@ -47,7 +47,9 @@
 	return cc.print(problems)
 }
 
-func (cc *checkCommand) ask(file, text string) error {
+// checkOnline has the daemon at --address check the file. The error lists the
+// problems.
+func (cc *checkCommand) checkOnline(file, text string) error {
 	cl, err := cc.client()
 	if err != nil {
 		return err
@@ -56,6 +58,7 @@
 	return err
 }
 
+// print prints the problems and returns an error if there are any.
 func (cc *checkCommand) print(problems []admin.Problem) error {
 	if cc.JSON {
 		if err := printJSON(append([]admin.Problem{}, problems...)); err != nil {
--- a/cmd/corianderhub/drain.go
+++ b/cmd/corianderhub/drain.go
@@ -7,7 +7,8 @@
 
 const drainUsage = `Stops the daemon at --address gracefully.
 
-It returns at once; the daemon's process ends when nothing is in flight.`
+The command returns at once; the daemon's process exits when nothing is in
+flight.`
 
 type drainCommand struct {
 	ctx context.Context
--- a/cmd/corianderhub/explain.go
+++ b/cmd/corianderhub/explain.go
@@ -12,14 +12,15 @@
 	"corianderhub.dev/corianderhub/internal/story"
 )
 
-const explainUsage = `Tells how the daemon at --address handled a request: where it was sent and
-why, and what came of each attempt. A daemon remembers some thousand requests.
-The identifier is in the X-Request-Id header of every answer.
+const explainUsage = `Shows how the daemon at --address handled a request: where it was sent and why,
+and the result of each attempt. A daemon keeps the records of several
+thousand requests. The identifier is in the X-Request-Id header of every response.
 
-With --log, the logs of daemons are read instead, and the lines about the request
-and about what happened meanwhile to the groups it was sent to are printed in
-order, with the causes that they name. --log may be given once for each daemon's
-log; "-" is standard input. --at prints what each daemon believed at that moment.`
+With --log, the command reads the logs of daemons instead. It prints the lines
+about the request, and those about the groups it was sent to during that time, in
+order and with the causes that they name. --log may be given once for each
+daemon's log; "-" is standard input. --at prints the state of the system that
+each daemon assumed at that time.`
 
 type explainCommand struct {
 	ctx context.Context
@@ -35,16 +36,17 @@
 func (ec *explainCommand) Execute([]string) error {
 	switch {
 	case ec.Args.RequestID == "" && ec.At == "":
-		return &exitError{exitUsage, "the request's identifier is missing"}
+		return &exitError{exitUsage, "argument REQUEST-ID is missing; it may be left out only with --at"}
 	case len(ec.Logs) > 0:
 		return ec.fromLogs(os.Stdout)
 	case ec.At != "":
-		return &exitError{exitUsage, "--at needs --log"}
+		return &exitError{exitUsage, "--at requires --log"}
 	}
 	return ec.fromDaemon()
 }
 
-// fromLogs tells the story from logs.
+// fromLogs prints the log lines about the request or, with --at, the lines that
+// give the state assumed by each daemon at that time.
 func (ec *explainCommand) fromLogs(to io.Writer) error {
 	lines, err := ec.readLogs()
 	if err != nil {
@@ -59,11 +61,12 @@
 	}
 	found := story.OfRequest(lines, ec.Args.RequestID)
 	if len(found) == 0 {
-		return &exitError{exitFailed, "no line about request " + ec.Args.RequestID}
+		return &exitError{exitFailed, "no log line found for request " + ec.Args.RequestID}
 	}
 	return story.Print(to, found, ec.Args.RequestID)
 }
 
+// readLogs returns the lines of all logs in order of time.
 func (ec *explainCommand) readLogs() ([]story.Line, error) {
 	var lines []story.Line
 	for _, file := range ec.Logs {
@@ -77,6 +80,8 @@
 	return lines, nil
 }
 
+// readLog reads one log, or standard input if file is "-". The source of its
+// lines is the file's base name without the suffix .log.
 func readLog(file string) ([]story.Line, error) {
 	from, source := os.Stdin, "stdin"
 	if file != "-" {
@@ -89,12 +94,12 @@
 	}
 	lines, skipped, err := story.Read(source, from)
 	if skipped > 0 {
-		fmt.Fprintf(os.Stderr, "%s: %d lines are not log lines of a daemon and were passed over\n", file, skipped)
+		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not log lines of a daemon\n", file, skipped)
 	}
 	return lines, err
 }
 
-// fromDaemon asks a daemon.
+// fromDaemon prints the record that the daemon at --address has of the request.
 func (ec *explainCommand) fromDaemon() error {
 	cl, err := ec.client()
 	if err != nil {
--- a/cmd/corianderhub/front.go
+++ b/cmd/corianderhub/front.go
@@ -15,10 +15,10 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-const frontUsage = `Runs the daemon of an entry VM on the platform until it is told to stop.
+const frontUsage = `Runs the daemon of an entry VM on the platform until it is stopped.
 
-The platform's settings file is named by CORIANDERHUB_SETTINGS. SIGTERM stops
-the daemon gracefully, SIGHUP makes it read the file again.`
+The environment variable CORIANDERHUB_SETTINGS names the platform's settings
+file. SIGTERM stops the daemon gracefully, SIGHUP makes it read the file again.`
 
 type frontCommand struct {
 	ctx         context.Context
@@ -27,15 +27,16 @@
 	Verbose     bool   `long:"verbose" description:"log every attempt"`
 }
 
-// heapPart is the part of the memory limit that the heap may fill before the
-// collector runs all the time; stacks, buffers and the runtime take the rest.
-const heapPart = 0.7
+// heapFraction is the fraction of the memory limit that the heap may fill before
+// the garbage collector runs continuously. The rest is for stacks, buffers and the
+// runtime.
+const heapFraction = 0.7
 
 // Execute implements flags.Commander.
 func (fc *frontCommand) Execute([]string) error {
 	file := os.Getenv(platform.SettingsVariable)
 	if file == "" {
-		return &exitError{exitUsage, platform.SettingsVariable + " must name the settings file"}
+		return &exitError{exitUsage, platform.SettingsVariable + " is not set; it must name the settings file"}
 	}
 	set, err := platform.ReadSettings(file)
 	var se *platform.SettingsError
@@ -43,25 +44,26 @@
 		return &exitError{exitRefused, se.Error()}
 	}
 	if set.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(set.MemoryBytes)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(set.MemoryBytes)))
 	}
 	qu := logqueue.New(os.Stdout)
 	log := slog.New(fc.handler(qu))
-	logs, stopLogs := context.WithCancel(context.WithoutCancel(fc.ctx))
+	logCtx, stopLog := context.WithCancel(context.WithoutCancel(fc.ctx))
 	flushed := make(chan struct{})
 	go func() {
 		defer close(flushed)
-		_ = qu.Run(logs) // It returns no error.
+		_ = qu.Run(logCtx) // Run always returns nil.
 	}()
 	defer func() {
-		stopLogs()
+		stopLog()
 		<-flushed
 	}()
-	go rereadOnHangup(logs, file, log)
+	go checkSettingsOnHangup(logCtx, file, log)
 	da := &entry.Daemon{Settings: set, Clock: clock.System{}, Log: log, MetricsPort: fc.MetricsPort}
 	return da.Run(fc.ctx)
 }
 
+// handler returns a handler that writes to qu in the chosen format and level.
 func (fc *frontCommand) handler(qu *logqueue.Queue) slog.Handler {
 	opts := &slog.HandlerOptions{Level: slog.LevelInfo}
 	if fc.Verbose {
@@ -73,9 +75,10 @@
 	return slog.NewTextHandler(qu, opts)
 }
 
-// rereadOnHangup checks the settings file at each SIGHUP. Addresses hold until
-// the process ends; what is wrong is logged and the last good settings stay.
-func rereadOnHangup(ctx context.Context, file string, log *slog.Logger) {
+// checkSettingsOnHangup reads and checks the settings file at each SIGHUP until ctx
+// ends, and logs the result. The settings in use do not change: addresses are fixed
+// for the lifetime of the process, and an invalid file is only reported.
+func checkSettingsOnHangup(ctx context.Context, file string, log *slog.Logger) {
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
 	defer signal.Stop(hups)
@@ -86,9 +89,9 @@
 		case <-hups:
 		}
 		if _, err := platform.ReadSettings(file); err != nil {
-			log.Error("daemon: settings can't be used; the last ones stay.", "cause", err.Error())
+			log.Error("daemon: settings file is invalid; keeping the current settings.", "cause", err.Error())
 			continue
 		}
-		log.Info("daemon: settings read again.", "file", file)
+		log.Info("daemon: settings file read again.", "file", file)
 	}
 }
--- a/cmd/corianderhub/help.go
+++ b/cmd/corianderhub/help.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-const helpUsage = `Prints a whole page of help, or the list of pages.`
+const helpUsage = `Prints a help page, or the list of pages.`
 
 //go:embed help/*.md
 var pages embed.FS
@@ -25,7 +25,7 @@
 	}
 	raw, err := pages.ReadFile("help/" + hc.Args.Topic + ".md")
 	if err != nil {
-		return &exitError{exitUsage, fmt.Sprintf("no page %q; \"corianderhub help\" lists them", hc.Args.Topic)}
+		return &exitError{exitUsage, fmt.Sprintf("unknown help page %q; \"corianderhub help\" lists the pages", hc.Args.Topic)}
 	}
 	fmt.Print(string(raw))
 	return nil
--- a/cmd/corianderhub/keys.go
+++ b/cmd/corianderhub/keys.go
@@ -14,12 +14,14 @@
 	"corianderhub.dev/corianderhub/internal/peer"
 )
 
-const keysUsage = `Makes, in DIR, a CA and a certificate for the daemons (ca.pem, ca-key.pem,
-daemon.pem, daemon-key.pem) and a token for the operators (token). The digest
-for the settings is printed. With --secret it only prints a new random key and
-its digest, for a workspace. Files that exist are not overwritten.`
+const keysUsage = `Generates a CA and a certificate for the daemons (ca.pem, ca-key.pem, daemon.pem,
+daemon-key.pem) and a token for the operators (token) in DIR, and prints the
+token's digest for the settings. With --secret it only prints a new random key
+for a workspace and its digest. Existing files are not overwritten.`
 
 const (
+	// secretBytes is the number of random bytes in a key or token, which is
+	// written in hex.
 	secretBytes = 24
 	fileMode    = 0o600
 	dirMode     = 0o700
@@ -40,7 +42,7 @@
 		return nil
 	}
 	if kc.Args.Dir == "" {
-		return &exitError{exitUsage, "keys: DIR or --secret is needed"}
+		return &exitError{exitUsage, "keys: either DIR or --secret is required"}
 	}
 	ma, err := peer.NewMaterial(time.Now())
 	if err != nil {
@@ -53,7 +55,7 @@
 		name string
 		raw  []byte
 	}{{"ca.pem", ma.CA}, {"ca-key.pem", ma.CAKey}, {"daemon.pem", ma.Cert}, {"daemon-key.pem", ma.Key}, {"token", []byte(secret + "\n")}} {
-		if err := writeNew(filepath.Join(kc.Args.Dir, fi.name), fi.raw); err != nil {
+		if err := writeNewFile(filepath.Join(kc.Args.Dir, fi.name), fi.raw); err != nil {
 			return err
 		}
 	}
@@ -61,6 +63,8 @@
 	return nil
 }
 
+// newSecret returns a random key in hex, and the SHA-256 digest of that text in
+// hex.
 func newSecret() (secret, digest string) {
 	raw := make([]byte, secretBytes)
 	rand.Read(raw)
@@ -69,7 +73,9 @@
 	return secret, hex.EncodeToString(sum[:])
 }
 
-func writeNew(file string, raw []byte) error {
+// writeNewFile writes a file that only its owner can read. It fails if the file
+// exists.
+func writeNewFile(file string, raw []byte) error {
 	fi, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return eris.Wrap(err, "keys")
--- a/cmd/corianderhub/main.go
+++ b/cmd/corianderhub/main.go
@@ -1,4 +1,5 @@
-// Command corianderhub is the daemon of an entry VM and the operators' tool.
+// Command corianderhub runs the daemon of an entry VM and provides the commands
+// that operators use to configure and inspect the system.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Exit codes; `corianderhub help exit-codes` explains them.
+// Exit codes, as documented by `corianderhub help exit-codes`.
 const (
 	exitFailed  = 1
 	exitUsage   = 2
@@ -26,9 +27,9 @@
 const usage = `corianderhub serves language models whose replicas span several VMs.
 
 Run a daemon with "corianderhub serve FILE". The other commands are for
-operators. "corianderhub help" lists pages that say more.`
+operators. "corianderhub help" lists further help pages.`
 
-// exitError ends the program with a code after its message was printed.
+// exitError makes the program print text to standard error and exit with code.
 type exitError struct {
 	code int
 	text string
@@ -44,6 +45,7 @@
 	os.Exit(code)
 }
 
+// run parses args, executes the subcommand and returns the exit code.
 func run(ctx context.Context, args []string) int {
 	pa := flags.NewNamedParser("corianderhub", flags.HelpFlag|flags.PassDoubleDash)
 	pa.LongDescription = usage
@@ -57,7 +59,8 @@
 	return report(err)
 }
 
-// command is one subcommand.
+// command is one subcommand with its help texts. Its data receives the parsed
+// flags and executes it.
 type command struct {
 	name, short, long string
 	data              flags.Commander
@@ -69,17 +72,18 @@
 		{"front", "run the daemon of an entry VM on the platform", frontUsage, &frontCommand{ctx: ctx}},
 		{"check", "check files of declarations", checkUsage, &checkCommand{ctx: ctx}},
 		{"plan", "show what an apply would change", planUsage, &planCommand{ctx: ctx}},
-		{"apply", "put a file of declarations in force", applyUsage, &applyCommand{ctx: ctx}},
+		{"apply", "apply a file of declarations", applyUsage, &applyCommand{ctx: ctx}},
 		{"status", "show daemons and groups", statusUsage, &statusCommand{ctx: ctx}},
 		{"drain", "stop a daemon gracefully", drainUsage, &drainCommand{ctx: ctx}},
-		{"explain", "tell how a request was handled", explainUsage, &explainCommand{ctx: ctx}},
-		{"keys", "make TLS keys and tokens", keysUsage, &keysCommand{}},
+		{"explain", "explain how a request was handled", explainUsage, &explainCommand{ctx: ctx}},
+		{"keys", "generate TLS keys and tokens", keysUsage, &keysCommand{}},
 		{"version", "print the version", versionUsage, &versionCommand{}},
-		{"help", "print a page of help", helpUsage, &helpCommand{}},
+		{"help", "print a help page", helpUsage, &helpCommand{}},
 	}
 }
 
-// report prints an error and returns the exit code for it.
+// report prints err to standard error and returns the exit code for it. A
+// request for help is no error: its text goes to standard output.
 func report(err error) int {
 	var fe *flags.Error
 	var ee *exitError
--- a/cmd/corianderhub/plan.go
+++ b/cmd/corianderhub/plan.go
@@ -9,8 +9,8 @@
 
 const planUsage = `Shows what applying FILE would change, without changing anything.
 
-The revision printed can be given to "apply --base", which then refuses to
-overwrite what somebody else has changed in between.`
+Pass the printed revision to "apply --base" to have the apply refused if one of
+its objects was changed in the meantime.`
 
 type planCommand struct {
 	ctx context.Context
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// printChanges prints each change with the object before (-) and after (+) it.
 func printChanges(changes []admin.Diff) {
 	if len(changes) == 0 {
 		fmt.Println("nothing changes")
--- a/cmd/corianderhub/serve.go
+++ b/cmd/corianderhub/serve.go
@@ -11,11 +11,11 @@
 	"corianderhub.dev/corianderhub/internal/peer"
 )
 
-const serveUsage = `Runs a daemon with the settings in FILE until it is told to stop.
+const serveUsage = `Runs a daemon with the settings in FILE until it is stopped.
 
-SIGTERM or SIGINT stops it gracefully: it leaves the list of entries, serves
-for as long as callers may keep that list, finishes what is in flight and
-hands its lease over. "corianderhub help settings" describes FILE.`
+SIGTERM or SIGINT stops it gracefully: it is removed from the list of entries,
+serves for as long as callers may cache that list, finishes the requests in
+flight and hands over its lease. "corianderhub help settings" describes FILE.`
 
 type serveCommand struct {
 	ctx  context.Context
@@ -45,6 +45,7 @@
 	return da.Run(sc.ctx)
 }
 
+// newLog returns a logger that writes JSON or text to standard error.
 func newLog(json bool) *slog.Logger {
 	if json {
 		return slog.New(slog.NewJSONHandler(os.Stderr, nil))
--- a/cmd/corianderhub/status.go
+++ b/cmd/corianderhub/status.go
@@ -10,10 +10,10 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-const statusUsage = `Shows the daemons with the revision in force at each, and the groups.
+const statusUsage = `Shows the daemons, the configuration revision in force at each, and the groups.
 
-What is shown is what the asked daemon knows. A group is "serving" if that
-daemon may send to it at this moment.`
+The output is the state of the system as the daemon at --address sees it. A group
+is "serving" if that daemon may send requests to it now.`
 
 type statusCommand struct {
 	ctx context.Context
@@ -36,6 +36,7 @@
 	return printStatus(st)
 }
 
+// printStatus prints st as tables. A daemon without a revision did not answer.
 func printStatus(st admin.Status) error {
 	fmt.Printf("revision %d, steward %s (epoch %d)\n\n", st.Revision, orDash(st.Steward), st.Epoch)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
--- a/cmd/corianderhub/version.go
+++ b/cmd/corianderhub/version.go
@@ -7,7 +7,7 @@
 
 const versionUsage = `Prints the version of corianderhub and of Go.`
 
-// version is the version that CHANGELOG.md describes.
+// version is the current version, as in CHANGELOG.md.
 const version = "0.1.0"
 
 type versionCommand struct{}
