--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,6 @@
-// Command soak runs daemons as processes before an emulated platform, disturbs them
-// from outside, and checks what callers and endpoints see. Each seed plays one run.
+// Command soak runs daemons as separate processes in front of an emulated platform,
+// injects faults from outside, and checks the daemons' guarantees by what callers and
+// endpoints observe. Each seed is one run.
 package main
 
 import (
@@ -18,17 +19,17 @@
 )
 
 type options struct {
-	Binary  string        `long:"binary" required:"yes" description:"the daemon's program"`
-	Dir     string        `long:"dir" required:"yes" description:"where settings and logs go"`
-	Seed    uint64        `long:"seed" default:"1" description:"the first seed"`
-	Seeds   int           `long:"seeds" default:"1" description:"how many seeds to play"`
-	Daemons int           `long:"daemons" default:"4" description:"daemons"`
-	Models  int           `long:"models" default:"9" description:"model servers in the fabric domain"`
-	Desks   int           `long:"desks" default:"3" description:"plain servers"`
-	Clients int           `long:"clients" default:"16" description:"clients that send one request after the other"`
-	Time    time.Duration `long:"time" default:"12s" description:"how long faults come in each run"`
-	Every   time.Duration `long:"every" default:"700ms" description:"mean time between two faults"`
-	Subnet  int           `long:"subnet" default:"120" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
+	Binary        string        `long:"binary" required:"yes" description:"the daemon's program"`
+	Dir           string        `long:"dir" required:"yes" description:"where settings and logs go"`
+	Seed          uint64        `long:"seed" default:"1" description:"the first seed"`
+	Seeds         int           `long:"seeds" default:"1" description:"how many seeds to play"`
+	Daemons       int           `long:"daemons" default:"4" description:"daemons"`
+	ModelServers  int           `long:"models" default:"9" description:"model servers in the fabric domain"`
+	PlainServers  int           `long:"desks" default:"3" description:"plain servers"`
+	Clients       int           `long:"clients" default:"16" description:"clients that send one request after the other"`
+	FaultDuration time.Duration `long:"time" default:"12s" description:"how long faults come in each run"`
+	FaultInterval time.Duration `long:"every" default:"700ms" description:"mean time between two faults"`
+	Subnet        int           `long:"subnet" default:"120" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
 }
 
 func main() {
@@ -48,15 +49,16 @@
 	}
 }
 
-// run plays the seeds and returns how many of them broke a promise.
+// run executes one soak run for each seed and returns the number of runs with
+// violations.
 func run(ctx context.Context, op options) (failed int, err error) {
 	for seed := op.Seed; seed < op.Seed+uint64(op.Seeds) && ctx.Err() == nil; seed++ {
 		dir := filepath.Join(op.Dir, fmt.Sprint("seed-", seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return failed, err
 		}
-		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, Models: op.Models,
-			Desks: op.Desks, Clients: op.Clients, Time: op.Time, Every: op.Every, Subnet: op.Subnet}
+		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, Models: op.ModelServers,
+			Desks: op.PlainServers, Clients: op.Clients, Time: op.FaultDuration, Every: op.FaultInterval, Subnet: op.Subnet}
 		violations, err := so.Run(ctx)
 		if err != nil {
 			return failed, err
@@ -67,7 +69,7 @@
 		if len(violations) > 0 {
 			failed++
 		}
-		fmt.Printf("seed %d: %d promises broken\n", seed, len(violations))
+		fmt.Printf("seed %d: %d violations\n", seed, len(violations))
 	}
 	return failed, nil
 }
