--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -1,6 +1,6 @@
-// Command emulator stands in for the platform on this machine: a metadata
-// store, model servers and plain servers. It writes a settings file for each
-// daemon that is to run before them.
+// Command emulator emulates the platform on this machine: a metadata store, model
+// servers and plain servers. It writes a settings file for each daemon that is to run
+// in front of them.
 package main
 
 import (
@@ -18,16 +18,16 @@
 )
 
 type options struct {
-	Dir     string `long:"dir" required:"yes" description:"where the settings files go"`
-	Daemons int    `long:"daemons" default:"3" description:"how many settings files to write"`
-	Models  int    `long:"models" default:"9" description:"model servers in the fabric domain"`
-	Desks   int    `long:"desks" default:"3" description:"plain servers"`
-	Subnet  int    `long:"subnet" default:"9" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
+	Dir          string `long:"dir" required:"yes" description:"where the settings files go"`
+	Daemons      int    `long:"daemons" default:"3" description:"how many settings files to write"`
+	ModelServers int    `long:"models" default:"9" description:"model servers in the fabric domain"`
+	PlainServers int    `long:"desks" default:"3" description:"plain servers"`
+	Subnet       int    `long:"subnet" default:"9" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
 }
 
-// eventEvery is the time between two events of a stream, as engines have it
-// under some load.
-const eventEvery = 60 * time.Millisecond
+// eventInterval is the time between two events of a stream, typical of an engine
+// under moderate load.
+const eventInterval = 60 * time.Millisecond
 
 func main() {
 	var op options
@@ -43,8 +43,10 @@
 	}
 }
 
+// run starts the emulated platform, writes the settings files and serves until ctx
+// ends.
 func run(ctx context.Context, op options) error {
-	de := &emulator.Deployment{ModelServers: op.Models, PlainServers: op.Desks, EventInterval: eventEvery}
+	de := &emulator.Deployment{ModelServers: op.ModelServers, PlainServers: op.PlainServers, EventInterval: eventInterval}
 	if err := de.Start(ctx); err != nil {
 		return err
 	}
