--- a/cmd/platform-demo/main.go
+++ b/cmd/platform-demo/main.go
@@ -1,6 +1,6 @@
-// Command platform-demo asks the daemons of a running stack where to connect,
-// sends a streamed request, a plain one and one that must not repeat, and
-// checks each answer whole.
+// Command platform-demo resolves the address of a daemon in a running stack, sends a
+// streamed request, a plain request and a request that must run at most once, and
+// compares each response in full with the expected one.
 package main
 
 import (
@@ -21,11 +21,12 @@
 )
 
 const (
-	// limit bounds the demonstration; groups form in some 3 s.
-	limit = 45 * time.Second
-	// retryPause is the time between tries while groups form.
+	// demoTimeout bounds the whole demo. Groups take about 3 s to form.
+	demoTimeout = 45 * time.Second
+	// retryPause is the time between two attempts while groups form.
 	retryPause = 200 * time.Millisecond
-	events     = 20
+	// eventCount is the number of events in the streamed response.
+	eventCount = 20
 )
 
 type options struct {
@@ -37,40 +38,43 @@
 	if _, err := flags.Parse(&op); err != nil {
 		os.Exit(2)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	err := demo(ctx, op)
 	cancel()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "demo failed:", err)
 		os.Exit(1)
 	}
-	fmt.Println("demo passed: every answer was checked whole")
+	fmt.Println("demo passed: all responses are complete and as expected")
 }
 
+// demo sends the requests one after the other and checks the responses.
 func demo(ctx context.Context, op options) error {
 	var stream strings.Builder
-	for num := 1; num <= events; num++ {
+	for num := 1; num <= eventCount; num++ {
 		stream.WriteString(emulator.Event("demo-draft", num))
 	}
 	for _, rq := range []struct{ what, path, id, want string }{
 		{"streamed request", "/draft/x", "demo-draft", stream.String()},
 		{"plain request", "/slot/x", "demo-slot", emulator.Body("demo-slot")},
-		{"request that must not repeat", "/confirm/x", "demo-confirm", emulator.Body("demo-confirm")},
+		{"request that must run at most once", "/confirm/x", "demo-confirm", emulator.Body("demo-confirm")},
 	} {
-		addr, got, err := untilServed(ctx, op, rq.path, rq.id)
+		addr, got, err := sendWithRetry(ctx, op, rq.path, rq.id)
 		if err != nil {
 			return eris.Wrap(err, rq.what)
 		}
 		if got != rq.want {
 			return eris.Errorf("%s: got %q, want %q", rq.what, got, rq.want)
 		}
-		fmt.Printf("%s: answered whole by %s, %d bytes\n", rq.what, addr, len(got))
+		fmt.Printf("%s: complete response from %s, %d bytes\n", rq.what, addr, len(got))
 	}
 	return nil
 }
 
-// untilServed repeats a request while it is refused as not run.
-func untilServed(ctx context.Context, op options, path, id string) (addr, body string, err error) {
+// sendWithRetry sends a request until it gets status 200, and returns the response
+// body and the daemon's address. It retries after errors and after status 503,
+// and resolves the address at the next daemon each time.
+func sendWithRetry(ctx context.Context, op options, path, id string) (addr, body string, err error) {
 	for num := 0; ; num++ {
 		addr, err = resolve(ctx, op.Directories[num%len(op.Directories)])
 		if err == nil {
@@ -79,7 +83,7 @@
 				return addr, body, nil
 			}
 			if err == nil && status != http.StatusServiceUnavailable {
-				return addr, "", eris.Errorf("status %d from %s", status, addr)
+				return addr, "", eris.Errorf("got status %d from %s, want 200 or 503", status, addr)
 			}
 		}
 		select {
@@ -90,7 +94,8 @@
 	}
 }
 
-// resolve asks a daemon which address to use.
+// resolve returns the first of the addresses that the daemon at directory returns for
+// the emulated host.
 func resolve(ctx context.Context, directory string) (string, error) {
 	_, raw, err := do(ctx, http.MethodGet, platform.ResolveURL(directory, emulator.Host, ""), nil)
 	if err != nil {
@@ -98,11 +103,12 @@
 	}
 	var an platform.ResolveResponse
 	if err := json.Unmarshal([]byte(raw), &an); err != nil || len(an.Addresses) == 0 {
-		return "", eris.Errorf("no address in %q", raw)
+		return "", eris.Errorf("no address in response %q", raw)
 	}
 	return an.Addresses[0], nil
 }
 
+// send sends a request with the identifier id as a client of the emulated platform.
 func send(ctx context.Context, addr, path, id string) (int, string, error) {
 	return do(ctx, http.MethodPost, "http://"+addr+path, func(req *http.Request) {
 		req.Host = emulator.Host
@@ -110,18 +116,20 @@
 		req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.Key)
 		req.Header.Set(platform.HeaderModel, emulator.ModelLarge)
 		if strings.HasPrefix(path, "/draft/") {
-			req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", events*7))
+			req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", eventCount*7))
 		}
 	})
 }
 
-func do(ctx context.Context, method, target string, change func(*http.Request)) (int, string, error) {
+// do sends a request without a body, which prepare may modify if it is not nil, and returns the status
+// and body of the response.
+func do(ctx context.Context, method, target string, prepare func(*http.Request)) (int, string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
 		return 0, "", err
 	}
-	if change != nil {
-		change(req)
+	if prepare != nil {
+		prepare(req)
 	}
 	rsp, err := http.DefaultClient.Do(req)
 	if err != nil {
