--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin runs small stand-ins for the systems around corianderhub.
+// Command standin runs small stand-ins for the systems that corianderhub depends on:
+// the platform, model engines and plain services.
 package main
 
 import (
@@ -20,35 +21,38 @@
 	"corianderhub.dev/corianderhub/internal/standin"
 )
 
+// headerTimeout bounds the time to read a request's header.
 const headerTimeout = 5 * time.Second
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	pa := flags.NewNamedParser("standin", flags.HelpFlag|flags.PassDoubleDash)
-	pa.AddCommand("platform", "key-value service, list of VMs, weight store", "", &platformCommand{ctx: ctx})
-	pa.AddCommand("engine", "the model engine on one VM", "", &engineCommand{ctx: ctx})
-	pa.AddCommand("service", "a plain service", "", &serviceCommand{ctx: ctx})
+	pa.AddCommand("platform", "run the platform: key-value service, list of VMs, weight store", "", &platformCommand{ctx: ctx})
+	pa.AddCommand("engine", "run the model engine of one VM", "", &engineCommand{ctx: ctx})
+	pa.AddCommand("service", "run a plain service", "", &serviceCommand{ctx: ctx})
 	if _, err := pa.Parse(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
+// listenFlags are the flags of all commands, which each run one HTTP server.
 type listenFlags struct {
 	Listen string `long:"listen" required:"yes" description:"IP:port"`
 }
 
-// serve runs the handler, and side next to it, until ctx ends.
-func (lf listenFlags) serve(ctx context.Context, handler http.Handler, side func(context.Context) error) error {
+// serve serves handler and runs background beside it until either of them ends. The
+// context of background ends with ctx or when the server fails.
+func (lf listenFlags) serve(ctx context.Context, handler http.Handler, background func(context.Context) error) error {
 	ln, err := net.Listen("tcp", lf.Listen)
 	if err != nil {
 		return err
 	}
 	sv := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	var gr run.Group
-	part, cancel := context.WithCancel(ctx)
-	gr.Add(func() error { return side(part) }, func(error) { cancel() })
+	backgroundCtx, cancel := context.WithCancel(ctx)
+	gr.Add(func() error { return background(backgroundCtx) }, func(error) { cancel() })
 	gr.Add(func() error { return sv.Serve(ln) }, func(error) { sv.Close() })
 	err = gr.Run()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -57,11 +61,13 @@
 	return err
 }
 
-func wait(ctx context.Context) error {
+// waitDone is the background task of servers that have none. It blocks until ctx ends.
+func waitDone(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
+// platformCommand runs the stand-in of the platform.
 type platformCommand struct {
 	ctx context.Context
 	listenFlags
@@ -79,9 +85,10 @@
 		}
 		vms = append(vms, platform.VM{Name: parts[0], Address: parts[1], DataCenter: parts[2], FabricDomain: parts[3], State: platform.VMLive})
 	}
-	return pc.serve(pc.ctx, standin.NewPlatform(vms, pc.WeightsPerMinute).Handler(), wait)
+	return pc.serve(pc.ctx, standin.NewPlatform(vms, pc.WeightsPerMinute).Handler(), waitDone)
 }
 
+// engineCommand runs the stand-in of the model engine on one VM.
 type engineCommand struct {
 	ctx context.Context
 	listenFlags
@@ -109,6 +116,7 @@
 	return ec.serve(ec.ctx, en.Handler(), en.Run)
 }
 
+// serviceCommand runs the stand-in of a plain service.
 type serviceCommand struct {
 	ctx context.Context
 	listenFlags
@@ -116,5 +124,5 @@
 
 // Execute implements flags.Commander.
 func (sc *serviceCommand) Execute([]string) error {
-	return sc.serve(sc.ctx, (&standin.Service{}).Handler(), wait)
+	return sc.serve(sc.ctx, (&standin.Service{}).Handler(), waitDone)
 }
