--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict states whether a request may have been executed by an
-// endpoint. Every failing path of the system ends in one verdict, and the
-// verdict alone decides whether the request may be sent again.
+// Package verdict defines the errors of failed requests. Each carries a verdict that
+// says whether an endpoint may have executed the request, and the verdict decides
+// whether the request may be sent again.
 package verdict
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Verdict says what is known about the execution of a request.
+// Verdict says whether a request has been executed by an endpoint, as far as known.
 type Verdict string
 
 const (
@@ -21,38 +21,61 @@
 	Ran Verdict = "ran"
 )
 
-// Code is the stable, machine-readable reason of an error.
+// Code is the machine-readable reason of an error. Codes are stable.
 type Code string
 
-// The codes a caller or an operator can meet.
+// Codes in the errors that callers and operators receive.
 const (
-	CodeBadRequest     Code = "bad-request"
-	CodeUnauthorized   Code = "unauthorized"
-	CodeNoRoute        Code = "no-route"
-	CodeTooLarge       Code = "too-large"
-	CodeOverloaded     Code = "overloaded"
-	CodeDeadline       Code = "deadline"
-	CodeNoGroup        Code = "no-group"
-	CodeNoClaim        Code = "no-claim"
-	CodeDuplicate      Code = "duplicate"
-	CodeKeyReused      Code = "key-reused"
+	// CodeBadRequest means that the request is malformed, or the engine rejected it.
+	CodeBadRequest Code = "bad-request"
+	// CodeUnauthorized means that the workspace key or operator token is unknown.
+	CodeUnauthorized Code = "unauthorized"
+	// CodeNoRoute means that no endpoint, model or record of a request matches.
+	CodeNoRoute Code = "no-route"
+	// CodeTooLarge means that the request body exceeds the limit or could not be read.
+	CodeTooLarge Code = "too-large"
+	// CodeOverloaded means that a daemon or endpoint refused the request because of its
+	// load.
+	CodeOverloaded Code = "overloaded"
+	// CodeDeadline means that the request did not start before its deadline.
+	CodeDeadline Code = "deadline"
+	// CodeNoGroup means that no group or endpoint address can take the request now.
+	CodeNoGroup Code = "no-group"
+	// CodeNoClaim means that the idempotency key could not be claimed at the platform.
+	CodeNoClaim Code = "no-claim"
+	// CodeDuplicate means that a request with this idempotency key was sent before and
+	// that no response to it can be returned now.
+	CodeDuplicate Code = "duplicate"
+	// CodeKeyReused means that the idempotency key was used for a different request.
+	CodeKeyReused Code = "key-reused"
+	// CodeEndpointFailed means that the endpoint or daemon failed, did not answer or
+	// refused the request.
 	CodeEndpointFailed Code = "endpoint-failed"
-	CodeBrokenAnswer   Code = "broken-answer"
-	CodeForeignAnswer  Code = "foreign-answer"
-	CodeCallerGone     Code = "caller-gone"
-	CodeStopping       Code = "stopping"
-	CodeConflict       Code = "conflict"
-	CodeInvalid        Code = "invalid"
-	CodeNotReady       Code = "not-ready"
-	CodePlatform       Code = "platform-unavailable"
+	// CodeBrokenAnswer means that the response is incomplete or malformed.
+	CodeBrokenAnswer Code = "broken-answer"
+	// CodeForeignAnswer means that the response belongs to another request.
+	CodeForeignAnswer Code = "foreign-answer"
+	// CodeCallerGone means that the caller disconnected before it had the whole response.
+	CodeCallerGone Code = "caller-gone"
+	// CodeStopping means that the daemon is stopping.
+	CodeStopping Code = "stopping"
+	// CodeConflict means that another operator's change came first.
+	CodeConflict Code = "conflict"
+	// CodeInvalid means that the declarations have problems.
+	CodeInvalid Code = "invalid"
+	// CodeNotReady means that the daemon has no configuration yet, or that no daemon
+	// answered.
+	CodeNotReady Code = "not-ready"
+	// CodePlatform means that the platform's key-value service did not answer.
+	CodePlatform Code = "platform-unavailable"
 )
 
-// Error is a failed request together with its verdict.
+// Error is the error of a failed request.
 type Error struct {
 	Code    Code
 	Verdict Verdict
 	Message string
-	// RetryAfter is when a retry may help; zero when it would not.
+	// RetryAfter is the time to wait before a retry; zero if none is recommended.
 	RetryAfter time.Duration
 	// Cause is the underlying error, if any. It is not sent to callers.
 	Cause error
@@ -70,8 +93,8 @@
 // Unwrap returns the underlying error.
 func (err *Error) Unwrap() error { return err.Cause }
 
-// Of returns the verdict carried by err. An error that carries none is
-// treated as MayHaveRun, the only safe assumption.
+// Of returns the verdict carried by err. For an error without one it returns
+// MayHaveRun, the only safe assumption.
 func Of(err error) Verdict {
 	var ve *Error
 	if errors.As(err, &ve) {
@@ -80,8 +103,8 @@
 	return MayHaveRun
 }
 
-// As returns err as an *Error, wrapping it as endpoint-failed with the
-// verdict MayHaveRun when it is of another kind.
+// As returns the *Error in err's chain. An error without one is wrapped with the code
+// endpoint-failed and the verdict MayHaveRun.
 func As(err error) *Error {
 	var ve *Error
 	if errors.As(err, &ve) {
@@ -90,6 +113,7 @@
 	return &Error{Code: CodeEndpointFailed, Verdict: MayHaveRun, Message: "the request failed", Cause: err}
 }
 
+// statuses holds the HTTP status of each code that is sent in a response.
 var statuses = map[Code]int{
 	CodeBadRequest:     http.StatusBadRequest,
 	CodeUnauthorized:   http.StatusUnauthorized,
@@ -111,7 +135,8 @@
 	CodePlatform:       http.StatusServiceUnavailable,
 }
 
-// Status returns the HTTP status that carries the error.
+// Status returns the HTTP status of a response with the error: 500 for a code that has
+// no status of its own.
 func (err *Error) Status() int {
 	if status, ok := statuses[err.Code]; ok {
 		return status
