--- a/pkg/hub/hub.go
+++ b/pkg/hub/hub.go
@@ -1,6 +1,6 @@
-// Package hub is the callers' client. It asks the system which addresses to
-// use, keeps the answer for as long as it says, and moves on to another
-// address when one fails, but only where the verdict allows a retry.
+// Package hub is the client for callers. It gets the list of daemon addresses from the
+// system, caches it for its stated lifetime, and switches to another address when one
+// fails. It sends a failed request again only if the verdict allows a retry.
 package hub
 
 import (
@@ -25,29 +25,31 @@
 	HeaderTimeout = "Request-Timeout"
 	// HeaderNotRepeatable is "true" on a request that must run at most once.
 	HeaderNotRepeatable = "Not-Repeatable"
-	// HeaderIdempotencyKey identifies such a request across retries.
+	// HeaderIdempotencyKey identifies a request that must run at most once across
+	// retries.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderPriority orders requests of one workspace: an integer.
+	// HeaderPriority is the request's priority within its workspace, an integer.
 	HeaderPriority = "Request-Priority"
-	// HeaderRecorded is set on an answer that was recorded earlier.
+	// HeaderRecorded is "true" on a response that was recorded when the request ran
+	// earlier.
 	HeaderRecorded = "Recorded-Answer"
-	// HeaderRequestID names the request in logs and for explain.
+	// HeaderRequestID identifies the request in logs and for Explain in package admin.
 	HeaderRequestID = "X-Request-Id"
 )
 
-// Entries tells callers which addresses to use.
+// Entries is the list of daemon addresses for callers, as IP:port.
 type Entries struct {
 	Addresses []string `json:"addresses"`
-	// LifetimeMS is how long the answer may be kept.
+	// LifetimeMS is how long the list may be cached, in ms.
 	LifetimeMS int64 `json:"lifetime-ms"`
 }
 
-// ErrorBody is the JSON form of a failure.
+// ErrorBody is the JSON body of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail follows the OpenAI form and adds the verdict.
+// ErrorDetail is an error in the form of the OpenAI API, with the verdict added.
 type ErrorDetail struct {
 	Code         verdict.Code    `json:"code"`
 	Type         string          `json:"type"`
@@ -57,7 +59,7 @@
 	RetryAfterMS int64           `json:"retry-after-ms,omitempty"`
 }
 
-// Call is one request.
+// Call is one call to a plain service or to the system.
 type Call struct {
 	Method string
 	Path   string
@@ -65,49 +67,51 @@
 	// Key is the idempotency key of a request that must run at most once. A
 	// request with a key may be sent again through any daemon.
 	Key string
-	// NotRepeatable marks the request where the operators have not.
+	// NotRepeatable marks a request that must run at most once although the operators
+	// have not declared its path so.
 	NotRepeatable bool
 	// Header holds further headers.
 	Header http.Header
 
-	// repeatable marks calls that are safe to send again.
+	// repeatable marks calls that may be sent again even if they may have run.
 	repeatable bool
 }
 
-// Answer is a whole answer.
+// Answer is a complete response.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Recorded means that the request ran earlier and this is its outcome.
+	// Recorded reports that the request ran earlier and this is the recorded response.
 	Recorded bool
 }
 
-// Client calls the system. Set the exported fields before the first call. It
-// is safe for use by several goroutines.
+// Client sends calls to the system's daemons. Set the exported fields before the first
+// call. It is safe for concurrent use.
 type Client struct {
-	// Seeds are addresses to ask first, as IP:port.
+	// Seeds are the addresses of daemons from which to get the first list of
+	// addresses, as IP:port.
 	Seeds []string
 	// Key is the workspace's secret key.
 	Key string
-	// Attempts bounds how often one call is sent; defaultAttempts when zero.
+	// Attempts bounds how often one call is sent; zero means 6.
 	Attempts int
-	// HTTP is the client used; one with a connection timeout when nil.
+	// HTTP is the HTTP client; nil means one with a connection timeout of 1 s.
 	HTTP *http.Client
 
-	mu      sync.Mutex
-	entries []string
-	until   time.Time
-	next    int
+	mu            sync.Mutex
+	entries       []string
+	entriesExpire time.Time
+	next          int
 }
 
 const (
-	defaultAttempts = 6
-	entriesTimeout  = 2 * time.Second
-	dialTimeout     = time.Second
-	retryPause      = 100 * time.Millisecond
-	maxPause        = 5 * time.Second
-	maxAnswerBytes  = 64 << 20
+	defaultAttempts  = 6
+	entriesTimeout   = 2 * time.Second
+	dialTimeout      = time.Second
+	minRetryPause    = 100 * time.Millisecond
+	maxRetryPause    = 5 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 var defaultHTTP = &http.Client{Transport: &http.Transport{
@@ -116,21 +120,21 @@
 	IdleConnTimeout:     time.Minute,
 }}
 
-func (cl *Client) http() *http.Client {
+func (cl *Client) httpClient() *http.Client {
 	if cl.HTTP != nil {
 		return cl.HTTP
 	}
 	return defaultHTTP
 }
 
-// Do sends the call and returns the whole answer, whatever its status. Its
-// error is a *verdict.Error.
+// Do sends the call and returns the complete response of the endpoint, whatever its
+// status. The error is a *verdict.Error.
 func (cl *Client) Do(ctx context.Context, ca Call) (Answer, error) {
 	var an Answer
 	err := cl.retry(ctx, ca, func(rsp *http.Response) error {
-		body, err := io.ReadAll(io.LimitReader(rsp.Body, maxAnswerBytes))
+		body, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes))
 		if err != nil {
-			return broken(err)
+			return brokenAnswer(err)
 		}
 		an = Answer{Status: rsp.StatusCode, Header: rsp.Header, Body: body, Recorded: rsp.Header.Get(HeaderRecorded) == "true"}
 		return nil
@@ -138,38 +142,40 @@
 	return an, err
 }
 
-func broken(err error) *verdict.Error {
+// brokenAnswer returns the error for a response that is incomplete or malformed.
+func brokenAnswer(err error) *verdict.Error {
 	return &verdict.Error{Code: verdict.CodeBrokenAnswer, Verdict: verdict.MayHaveRun, Message: "the answer was cut off", Cause: err}
 }
 
-// retry sends the call until take accepts an answer, final says that nothing
-// more may be taken, or no retry is allowed.
-func (cl *Client) retry(ctx context.Context, ca Call, take func(*http.Response) error, final func() bool) error {
+// retry sends the call until handle accepts a response. It returns the last error if
+// the attempts are used up, if the verdict allows no retry, or if delivered reports that
+// a part of a response has reached the caller.
+func (cl *Client) retry(ctx context.Context, ca Call, handle func(*http.Response) error, delivered func() bool) error {
 	attempts := cl.Attempts
 	if attempts == 0 {
 		attempts = defaultAttempts
 	}
 	var err error
 	for try := range attempts {
-		if err = cl.once(ctx, ca, take); err == nil {
+		if err = cl.sendOnce(ctx, ca, handle); err == nil {
 			return nil
 		}
 		ve := verdict.As(err)
-		if final() || !ca.mayRetry(ve) || try == attempts-1 || pause(ctx, ve.RetryAfter) != nil {
+		if delivered() || !ca.mayRetry(ve) || try == attempts-1 || pause(ctx, ve.RetryAfter) != nil {
 			return ve
 		}
 	}
 	return err
 }
 
-// mayRetry tells whether the call may be sent again after ve. With a key any
-// daemon recognises the call, so that sending it again cannot run it twice.
+// mayRetry reports whether the call may be sent again after ve. With a key, every
+// daemon recognizes the repeated call, so it cannot run twice.
 func (ca Call) mayRetry(ve *verdict.Error) bool {
 	switch ve.Code {
 	case verdict.CodeBadRequest, verdict.CodeUnauthorized, verdict.CodeNoRoute, verdict.CodeTooLarge, verdict.CodeKeyReused:
 		return false
 	case verdict.CodeDuplicate:
-		// The outcome may be recorded yet.
+		// The first request may be in progress, and its outcome recorded later.
 		return ve.Verdict == verdict.MayHaveRun
 	}
 	if ve.Verdict == verdict.NotRun {
@@ -178,8 +184,10 @@
 	return ca.repeatable || ca.Key != "" || ca.Method == http.MethodGet || ca.Method == http.MethodHead
 }
 
+// pause waits for the given time, within the bounds of minRetryPause and
+// maxRetryPause, or until ctx ends.
 func pause(ctx context.Context, wait time.Duration) error {
-	wait = min(max(wait, retryPause), maxPause)
+	wait = min(max(wait, minRetryPause), maxRetryPause)
 	tm := time.NewTimer(wait)
 	defer tm.Stop()
 	select {
@@ -190,7 +198,9 @@
 	}
 }
 
-func (cl *Client) once(ctx context.Context, ca Call, take func(*http.Response) error) error {
+// sendOnce sends the call to the current address. It switches to the next address if
+// that daemon fails or does not serve.
+func (cl *Client) sendOnce(ctx context.Context, ca Call, handle func(*http.Response) error) error {
 	addr, err := cl.address(ctx)
 	if err != nil {
 		return err
@@ -199,30 +209,31 @@
 	if err != nil {
 		return &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: "the call could not be made", Cause: err}
 	}
-	// Whether to send again is decided here and not by net/http, which would
-	// do it unseen.
+	// Without GetBody net/http does not resend the request by itself. Retries are
+	// decided here, by the verdict.
 	req.GetBody = nil
-	cl.headers(req, ca)
-	rsp, err := cl.http().Do(req)
+	cl.setHeaders(req, ca)
+	rsp, err := cl.httpClient().Do(req)
 	if err != nil {
-		cl.failed(addr)
+		cl.markFailed(addr)
 		return sendError(err)
 	}
 	defer rsp.Body.Close()
-	if ve := refusal(rsp); ve != nil {
+	if ve := daemonError(rsp); ve != nil {
 		if ve.Code == verdict.CodeStopping || ve.Code == verdict.CodeNotReady {
-			cl.failed(addr)
+			cl.markFailed(addr)
 		}
 		return ve
 	}
-	if err := take(rsp); err != nil {
-		cl.failed(addr)
+	if err := handle(rsp); err != nil {
+		cl.markFailed(addr)
 		return err
 	}
 	return nil
 }
 
-func (cl *Client) headers(req *http.Request, ca Call) {
+// setHeaders sets the call's own headers and those that follow from its fields.
+func (cl *Client) setHeaders(req *http.Request, ca Call) {
 	for name, values := range ca.Header {
 		req.Header[name] = values
 	}
@@ -238,8 +249,8 @@
 	}
 }
 
-// sendError tells a connection that was never made from a request that may
-// have arrived.
+// sendError returns the error for a request without a response: not run if the
+// connection failed, else it may have run, because it may have arrived.
 func sendError(err error) *verdict.Error {
 	ve := &verdict.Error{Code: verdict.CodeEndpointFailed, Verdict: verdict.MayHaveRun, Message: "the daemon did not answer", Cause: err}
 	var op *net.OpError
@@ -249,25 +260,26 @@
 	return ve
 }
 
-// refusal returns the daemon's own error, or nil for an answer of an endpoint.
-func refusal(rsp *http.Response) *verdict.Error {
+// daemonError returns the error that the daemon itself sent, or nil if the response is
+// an endpoint's.
+func daemonError(rsp *http.Response) *verdict.Error {
 	if rsp.Header.Get("X-Verdict") == "" {
 		return nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(rsp.Body, maxAnswerBytes))
+	raw, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes))
 	var eb ErrorBody
 	if err != nil || json.Unmarshal(raw, &eb) != nil {
-		return broken(err)
+		return brokenAnswer(err)
 	}
 	return &verdict.Error{Code: eb.Error.Code, Verdict: eb.Error.Verdict, Message: eb.Error.Message,
 		RetryAfter: time.Duration(eb.Error.RetryAfterMS) * time.Millisecond}
 }
 
-// address returns the address to use next.
+// address returns the current address, after it fetches the list if that has expired.
 func (cl *Client) address(ctx context.Context) (string, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if len(cl.entries) == 0 || time.Now().After(cl.until) {
+	if len(cl.entries) == 0 || time.Now().After(cl.entriesExpire) {
 		cl.refresh(ctx)
 	}
 	if len(cl.entries) == 0 {
@@ -276,8 +288,8 @@
 	return cl.entries[cl.next%len(cl.entries)], nil
 }
 
-// failed moves on from an address that failed.
-func (cl *Client) failed(addr string) {
+// markFailed switches to the next address if addr is the current one.
+func (cl *Client) markFailed(addr string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if len(cl.entries) > 0 && cl.entries[cl.next%len(cl.entries)] == addr {
@@ -285,21 +297,22 @@
 	}
 }
 
-// refresh asks known addresses and seeds for the entries. If none answers the
-// old ones stay. Callers hold mu.
+// refresh fetches the list of addresses from the known addresses and then the seeds, up
+// to the first that answers. If none answers, the old list stays. Callers hold mu.
 func (cl *Client) refresh(ctx context.Context) {
 	for _, addr := range append(append([]string(nil), cl.entries...), cl.Seeds...) {
-		en, err := cl.ask(ctx, addr)
+		en, err := cl.fetchEntries(ctx, addr)
 		if err != nil || len(en.Addresses) == 0 {
 			continue
 		}
 		cl.entries = en.Addresses
-		cl.until = time.Now().Add(time.Duration(en.LifetimeMS) * time.Millisecond)
+		cl.entriesExpire = time.Now().Add(time.Duration(en.LifetimeMS) * time.Millisecond)
 		return
 	}
 }
 
-func (cl *Client) ask(ctx context.Context, addr string) (Entries, error) {
+// fetchEntries gets the list of addresses from the daemon at addr.
+func (cl *Client) fetchEntries(ctx context.Context, addr string) (Entries, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	var en Entries
@@ -307,10 +320,10 @@
 	if err != nil {
 		return en, eris.Wrap(err, "entries")
 	}
-	rsp, err := cl.http().Do(req)
+	rsp, err := cl.httpClient().Do(req)
 	if err != nil {
 		return en, eris.Wrap(err, "entries")
 	}
 	defer rsp.Body.Close()
-	return en, eris.Wrap(json.NewDecoder(io.LimitReader(rsp.Body, maxAnswerBytes)).Decode(&en), "entries")
+	return en, eris.Wrap(json.NewDecoder(io.LimitReader(rsp.Body, maxResponseBytes)).Decode(&en), "entries")
 }
--- a/pkg/hub/stream.go
+++ b/pkg/hub/stream.go
@@ -17,7 +17,7 @@
 	Content string `json:"content"`
 }
 
-// Chat is a chat completion to be streamed.
+// Chat is the request for a streamed chat completion.
 type Chat struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
@@ -25,15 +25,17 @@
 }
 
 const (
-	chatPath     = "/v1/chat/completions"
-	doneMark     = "[DONE]"
+	chatPath = "/v1/chat/completions"
+	// doneMarker is the data of the last event of a complete stream.
+	doneMarker = "[DONE]"
+	// maxLineBytes bounds one line of the stream.
 	maxLineBytes = 1 << 20
 )
 
-// Stream sends a chat completion and calls token for each piece of text. It
-// returns nil only when the answer is whole. A failure before the first piece
-// is retried through another daemon; one in the middle is returned, since a
-// new answer need not continue the text that was given.
+// Stream requests a chat completion and calls token for each piece of text. It returns
+// nil only if the response is complete. A failure before the first piece is retried at
+// another daemon. A later one is returned, because the response to a second request
+// need not continue the text that token has received. The error is a *verdict.Error.
 func (cl *Client) Stream(ctx context.Context, ch Chat, token func(text string)) error {
 	body, err := json.Marshal(struct {
 		Chat
@@ -42,20 +44,22 @@
 	if err != nil {
 		return &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: err.Error()}
 	}
-	given := false
+	delivered := false
 	ca := Call{Method: http.MethodPost, Path: chatPath, Body: body, repeatable: true}
 	return cl.retry(ctx, ca, func(rsp *http.Response) error {
 		err := readStream(rsp, func(text string) {
-			given = true
+			delivered = true
 			token(text)
 		})
-		if err != nil && given {
+		if err != nil && delivered {
 			return &verdict.Error{Code: verdict.CodeBrokenAnswer, Verdict: verdict.MayHaveRun, Message: "the stream broke off", Cause: err}
 		}
 		return err
-	}, func() bool { return given })
+	}, func() bool { return delivered })
 }
 
+// readStream reads server-sent events up to the done marker and calls token for each
+// non-empty piece of text. A stream that ends without the marker is a broken answer.
 func readStream(rsp *http.Response, token func(string)) error {
 	sc := bufio.NewScanner(rsp.Body)
 	sc.Buffer(nil, maxLineBytes)
@@ -64,7 +68,7 @@
 		if !ok {
 			continue
 		}
-		if data == doneMark {
+		if data == doneMarker {
 			return nil
 		}
 		var chunk struct {
@@ -74,7 +78,7 @@
 			Error *ErrorDetail `json:"error"`
 		}
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return broken(err)
+			return brokenAnswer(err)
 		}
 		if chunk.Error != nil {
 			return &verdict.Error{Code: chunk.Error.Code, Verdict: chunk.Error.Verdict, Message: chunk.Error.Message,
@@ -86,5 +90,5 @@
 			}
 		}
 	}
-	return broken(sc.Err())
+	return brokenAnswer(sc.Err())
 }
