--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,4 +1,5 @@
-// Package admin is the client of the administration API.
+// Package admin is the client of the administration API, through which operators check
+// and apply declarations and inspect and drain daemons.
 package admin
 
 import (
@@ -16,40 +17,47 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Apply asks to check, plan or apply a file of declarations.
+// Apply is the request to check, plan or apply a file of declarations.
 type Apply struct {
-	// File is the name to use in problems, Text the content in TOML.
+	// File is the name that problems refer to, Text the content in TOML.
 	File string `json:"file"`
 	Text string `json:"text"`
 	// Operation identifies the apply across retries: repeating it with the
-	// same identifier has no further effect. One is made if it is empty.
+	// same identifier has no further effect. If it is empty, the daemon generates one.
 	Operation string `json:"operation"`
-	Operator  string `json:"operator"`
+	// Operator is the name of the operator, which is stored with the changes.
+	Operator string `json:"operator"`
 	// Base is the revision that the operator has seen: the apply is refused
-	// when an object it touches was changed since. Zero takes any.
+	// if an object that it names was changed since. Zero disables the check.
 	Base uint64 `json:"base"`
 }
 
-// Applied says what an apply did, or what it would do.
+// Applied is the result of an apply, or of the check or plan of one.
 type Applied struct {
+	// Revision is the configuration that contains the changes. For a check or plan it
+	// is the one that they were compared with.
 	Revision  uint64 `json:"revision"`
 	Operation string `json:"operation,omitempty"`
 	Changes   []Diff `json:"changes"`
 }
 
-// Diff describes one object that is added, changed or deleted.
+// Diff is one object that is added, changed or deleted.
 type Diff struct {
+	// ID is the object's kind and name, such as "workspace/kwekerij".
 	ID     string `json:"id"`
 	Action string `json:"action"`
+	// Before and After are the object before and after the change; empty if it did
+	// not exist.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// Problem is one thing that is wrong with a file.
+// Problem is one problem in a file.
 type Problem struct {
 	File string `json:"file"`
-	// Line is 0 where no single line is to blame.
-	Line   int    `json:"line,omitempty"`
+	// Line is the number of the line, from 1, or 0 if the problem is not in one line.
+	Line int `json:"line,omitempty"`
+	// Key is the key in the file; empty if the problem is not in one key.
 	Key    string `json:"key,omitempty"`
 	Reason string `json:"reason"`
 }
@@ -66,7 +74,8 @@
 	return text + ": " + pr.Reason
 }
 
-// Refusal is the form of every error of the API.
+// Refusal is an error response of the API. Its verdict says whether the request may
+// have taken effect.
 type Refusal struct {
 	Code     verdict.Code    `json:"code"`
 	Verdict  verdict.Verdict `json:"verdict"`
@@ -83,42 +92,46 @@
 	return strings.Join(lines, "\n")
 }
 
-// Status is the state of the system as one daemon knows it.
+// Status is the state of the system as one daemon sees it.
 type Status struct {
-	// Revision is the configuration in force at the daemon that was asked.
+	// Revision is the configuration in force at the daemon that was called.
 	Revision uint64 `json:"revision"`
-	Ready    bool   `json:"ready"`
-	// Steward is the steward of the daemon's data center, if known.
+	// Ready reports whether that daemon knows the configuration and is not stopping.
+	Ready bool `json:"ready"`
+	// Steward is the steward of the daemon's data centre, if known, and Epoch the
+	// epoch of its lease.
 	Steward string   `json:"steward"`
 	Epoch   uint64   `json:"epoch"`
 	Daemons []Daemon `json:"daemons"`
 	Groups  []Group  `json:"groups"`
 }
 
-// Daemon is one daemon.
+// Daemon is the state of one daemon.
 type Daemon struct {
 	Name       string `json:"name"`
 	DataCenter string `json:"data-center"`
-	Caller     string `json:"caller"`
-	State      string `json:"state"`
-	// Revision is the configuration in force there; 0 if it did not answer.
+	// Caller is the address of the daemon's caller listener, as IP:port.
+	Caller string `json:"caller"`
+	State  string `json:"state"`
+	// Revision is the configuration in force at the daemon; 0 if it did not answer.
 	Revision uint64 `json:"revision"`
 }
 
-// Group is one replica.
+// Group is the state of one replica.
 type Group struct {
-	ID       string   `json:"id"`
+	ID string `json:"id"`
+	// Spec is the name of the declared group that the replica belongs to.
 	Spec     string   `json:"spec"`
 	Domain   string   `json:"domain"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	VMs      []string `json:"vms"`
 	Draining bool     `json:"draining"`
-	// Serving tells whether the asked daemon may send to the group now.
+	// Serving reports whether the daemon that was called may send to the group now.
 	Serving bool `json:"serving"`
 }
 
-// Explanation tells how a request was handled.
+// Explanation describes how a daemon handled a request.
 type Explanation struct {
 	ID        string    `json:"id"`
 	Path      string    `json:"path"`
@@ -129,38 +142,42 @@
 	Error     string    `json:"error,omitempty"`
 }
 
-// Attempt is one decision on the way of a request.
+// Attempt is one routing decision for a request, or the result of one.
 type Attempt struct {
 	At time.Time `json:"at"`
-	// Target is the group or address.
+	// Target is the ID of the group or the address of the endpoint.
 	Target string `json:"target"`
-	// Reason says why the target was chosen, or what came of it.
+	// Reason says why the target was chosen, or what the result was.
 	Reason string `json:"reason"`
 	// Load is the target's estimated load in tokens.
 	Load int64 `json:"load"`
 }
 
-// Client asks one daemon. Set the fields before the first call.
+// Client calls the administration API of one daemon. Set the fields before the first
+// call.
 type Client struct {
 	// Address is the daemon's listener for operators, as IP:port.
 	Address string
-	Token   string
+	// Token is the operators' secret token.
+	Token string
 }
 
-const maxAnswerBytes = 64 << 20
+// maxResponseBytes bounds how much of a response body is read.
+const maxResponseBytes = 64 << 20
 
-// Check checks a file on top of the configuration in force.
+// Check checks a file on top of the configuration in force. It returns a *Refusal that
+// lists all problems if there are any.
 func (cl *Client) Check(ctx context.Context, ap Apply) (Applied, error) {
 	return cl.apply(ctx, "check", ap)
 }
 
-// Plan returns what an apply would change.
+// Plan returns the changes that an apply of the file would make.
 func (cl *Client) Plan(ctx context.Context, ap Apply) (Applied, error) {
 	return cl.apply(ctx, "plan", ap)
 }
 
-// Apply puts a file in force as a whole. A *Refusal whose verdict is
-// may-have-run is settled by repeating the apply with the same operation.
+// Apply applies a file as a whole or not at all. If it returns a *Refusal with the
+// verdict may-have-run, the outcome is unknown: repeat the call with the same operation.
 func (cl *Client) Apply(ctx context.Context, ap Apply) (Applied, error) {
 	return cl.apply(ctx, "apply", ap)
 }
@@ -170,23 +187,26 @@
 	return done, cl.do(ctx, http.MethodPost, verb, ap, &done)
 }
 
-// Status returns the state of the system.
+// Status returns the state of the system as the daemon sees it.
 func (cl *Client) Status(ctx context.Context) (Status, error) {
 	var st Status
 	return st, cl.do(ctx, http.MethodGet, "status", nil, &st)
 }
 
-// Explain tells how the asked daemon handled a request.
+// Explain returns how the daemon handled a request. Daemons keep only their latest
+// requests; it returns a *Refusal if the daemon has no record of this one.
 func (cl *Client) Explain(ctx context.Context, requestID string) (Explanation, error) {
 	var ex Explanation
 	return ex, cl.do(ctx, http.MethodGet, "explain/"+requestID, nil, &ex)
 }
 
-// Drain begins the asked daemon's graceful stop.
+// Drain starts the daemon's graceful stop and returns without waiting for its end.
 func (cl *Client) Drain(ctx context.Context) error {
 	return cl.do(ctx, http.MethodPost, "drain", nil, &struct{}{})
 }
 
+// do calls path with body as JSON and decodes the response into into. Any status but
+// 200 is an error: a *Refusal if the response has its form.
 func (cl *Client) do(ctx context.Context, method, path string, body, into any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -202,16 +222,16 @@
 		return eris.Wrap(err, "administration")
 	}
 	defer rsp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(rsp.Body, maxAnswerBytes))
+	respBody, err := io.ReadAll(io.LimitReader(rsp.Body, maxResponseBytes))
 	if err != nil {
 		return eris.Wrap(err, "administration")
 	}
 	if rsp.StatusCode != http.StatusOK {
 		re := &Refusal{}
-		if json.Unmarshal(answer, re) != nil || re.Code == "" {
+		if json.Unmarshal(respBody, re) != nil || re.Code == "" {
 			return eris.Errorf("administration: status %d", rsp.StatusCode)
 		}
 		return re
 	}
-	return eris.Wrap(json.Unmarshal(answer, into), "administration")
+	return eris.Wrap(json.Unmarshal(respBody, into), "administration")
 }
