--- a/pkg/hub/hub.go
+++ b/pkg/hub/hub.go
@@ -209,7 +209,7 @@
 	if err != nil {
 		return &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: "the call could not be made", Cause: err}
 	}
-	// Without GetBody net/http does not resend the request by itself. Retries are
+	// Without GetBody net/http does not resend a request that has a body. Retries are
 	// decided here, by the verdict.
 	req.GetBody = nil
 	cl.setHeaders(req, ca)
