--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -55,7 +55,7 @@
 	Pools    *Pools
 	Engines  endpoint.EngineClient
 	Services endpoint.ServiceClient
-	Claims   *claims.Book
+	Claims   *claims.Registry
 	Journal  *Journal
 	// DataCenter is this daemon's own.
 	DataCenter string
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -28,7 +28,7 @@
 	da.platform = &platform.Client{Address: da.Settings.Platform}
 	da.chain = chainstore.Store{KV: da.platform, Clock: da.Clock}
 	da.members = endpoint.MemberClient{Transport: endpoint.NewTransport(memberConns)}
-	da.claims = &claims.Book{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
+	da.claims = &claims.Registry{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
 	da.journal = &caller.Journal{}
 	da.buildCallers()
 	set := da.Settings.control()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -66,7 +66,7 @@
 	node     *peer.Node
 	platform *platform.Client
 	chain    chainstore.Store
-	claims   *claims.Book
+	claims   *claims.Registry
 	members  endpoint.MemberClient
 	callers  *caller.Server
 	journal  *caller.Journal
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -102,7 +102,7 @@
 func (ct *control) logEvents(evs []steward.Event) {
 	for _, ev := range evs {
 		if ev.Kind == steward.GroupHealthy {
-			ct.sound.note(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
+			ct.sound.note(mesh.GroupRef{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
 			ct.da.table.MarkHealthy(ev.Group)
 			continue
 		}
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -98,7 +98,7 @@
 
 	// steward is the last beat of the steward with the highest term, heard when
 	// it came.
-	steward mesh.Beat
+	steward mesh.Heartbeat
 	heard   time.Time
 	wg      sync.WaitGroup
 	// wrongAt is when an endpoint last was not the one expected.
@@ -216,7 +216,7 @@
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetReportDelay(ct.da.mesh.LoadDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.ReportDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -238,7 +238,7 @@
 		taking = append(taking, ct.da.Settings.IP)
 	}
 	for _, pe := range ct.da.mesh.Alive() {
-		if pe.Taking {
+		if pe.Accepting {
 			taking = append(taking, pe.IP)
 		}
 	}
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -149,7 +149,7 @@
 		return eris.Wrap(err, "listen for daemons")
 	}
 	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InternalPorts[0],
-		OnBeat: func(be mesh.Beat) { da.control.post(func() { da.control.beat(be) }) }}
+		OnHeartbeat: func(be mesh.Heartbeat) { da.control.post(func() { da.control.beat(be) }) }}
 	da.peers = mesh.NewClient(set.InternalPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
@@ -257,7 +257,7 @@
 		add(da.Settings.Callers, da.Settings.DataCenter)
 	}
 	for _, pe := range da.mesh.Alive() {
-		if pe.Taking {
+		if pe.Accepting {
 			add(pe.Callers, pe.DataCenter)
 		}
 	}
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -130,7 +130,7 @@
 // larger machine first, since the steward has several times the work.
 func (ct *control) before(pe mesh.Peer) bool {
 	own := int(ct.da.Settings.CPUShare * 1000)
-	return pe.Power > own || pe.Power == own && pe.IP < ct.da.Settings.IP
+	return pe.MilliCPU > own || pe.MilliCPU == own && pe.IP < ct.da.Settings.IP
 }
 
 const (
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -152,14 +152,14 @@
 func TestNewStewardIsToldOfEnds(t *testing.T) {
 	ct, cl := newLoneControl(192)
 	for i := range 39 {
-		ct.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
+		ct.da.mesh.AddPeers([]string{fmt.Sprint("10.0.1.", i)})
 	}
 	fp := quarantine.Fingerprint{1}
 	ct.tell(telling{ended: &quarantine.Crash{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
 	told := func() int {
-		var be mesh.Beat
+		var be mesh.Heartbeat
 		ct.tellQuarantine(&be, cl.Now())
-		return len(be.Ended)
+		return len(be.Crashes)
 	}
 	if told() != 1 {
 		t.Fatal("an end is not told of")
