--- a/internal/core/steward/answers.go
+++ b/internal/core/steward/answers.go
@@ -6,8 +6,8 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// HandleReport handles an endpoint's report in response to a poll sent at sentAt. An order whose
-// response arrived since then may have changed the endpoint's state.
+// HandleReport handles an endpoint's report in response to a poll sent at sentAt. An order
+// whose response arrived since then may have changed the endpoint's state.
 func (co *Core) HandleReport(id string, re catalog.Report, sentAt, now time.Time) {
 	vm, ok := co.vms[id]
 	if !ok {
@@ -70,7 +70,8 @@
 	return *one == *other
 }
 
-// HandlePollFailure records that a poll sent at sentAt timed out or failed. The report may still arrive.
+// HandlePollFailure records that a poll sent at sentAt timed out or failed. The report may
+// still arrive.
 func (co *Core) HandlePollFailure(id, reason string, sentAt, now time.Time) {
 	vm := co.timedOutVM(id, sentAt)
 	if vm == nil {
@@ -139,9 +140,9 @@
 	}
 }
 
-// HandleInconclusivePoll records that a poll timed out while this machine itself was stalled: the
-// response may have arrived unread. A slow machine that counted such polls as failures marked
-// up to 50 healthy VMs as down at once and dissolved their groups.
+// HandleInconclusivePoll records that a poll sent at sentAt timed out while this machine itself
+// was stalled: the response may have arrived unread. A slow machine that counted such polls as
+// failures marked up to 50 healthy VMs as down at once and dissolved their groups.
 func (co *Core) HandleInconclusivePoll(id string, sentAt, now time.Time) {
 	vm := co.timedOutVM(id, sentAt)
 	if vm == nil {
@@ -155,7 +156,7 @@
 	vm.pollBy(now.Add(pollInterval))
 }
 
-// pollBy schedules a poll at the given time unless an earlier one is due.
+// pollBy schedules a poll at the given time unless one is already scheduled earlier.
 func (vm *vm) pollBy(at time.Time) {
 	if vm.pollAt.IsZero() || at.Before(vm.pollAt) {
 		vm.pollAt = at
--- a/internal/core/steward/compose.go
+++ b/internal/core/steward/compose.go
@@ -26,8 +26,9 @@
 }{{0, 0.4}, {1, 0.25}, {2, 0.2}, {3, 0.15}}
 
 // planSplits returns a split for each domain that spreads the models' work as evenly as the
-// group sizes allow, both now and after losses. It is a local search that improves one domain
-// at a time until no change of a single domain improves the result.
+// group sizes allow, both now and after losses; domains holds the number of available VMs of
+// each. It is a local search that improves one domain at a time until no change of a single
+// domain improves the result.
 func planSplits(domains []int, models []weightedSize) []split {
 	choices := make(map[int][]split)
 	plan := make([]split, len(domains))
--- a/internal/core/steward/entries.go
+++ b/internal/core/steward/entries.go
@@ -41,9 +41,9 @@
 	return &vm{ep: ep, incarnationSeenAt: now, registered: true, pollAt: now, idleSince: now}
 }
 
-// RestoreMember adds a member from an earlier steward's view that has no entry, or whose entry is of
-// another incarnation. A member without an entry is polled; if it does not respond, its group
-// does not wait for it. A member that has restarted is lost to its group.
+// RestoreMember handles a member in an earlier steward's view that has no entry, or whose entry
+// is of another incarnation. A member without an entry is polled; if it does not respond, its
+// group does not wait for it. A member that has restarted is lost to its group.
 func (co *Core) RestoreMember(gr catalog.Group, me catalog.Member, now time.Time) {
 	if co.services[gr.Service] == nil {
 		return
--- a/internal/core/steward/flight.go
+++ b/internal/core/steward/flight.go
@@ -22,10 +22,10 @@
 
 const (
 	// minUrgentTimeout and maxPollTimeout bound the poll timeout. A round trip takes about
-	// 3 ms. Four urgent polls in a row, the report to any of which may arrive until the last
-	// one times out, take 240 ms, so a loss is detected as fast as with two polls of 120 ms. If
-	// one poll in ten loses a packet, one VM in 10,000 is marked as unresponsive instead of
-	// one in 100; a group has up to 32 VMs.
+	// 3 ms. Four urgent polls in a row take 240 ms, and a report in response to any of them
+	// counts until the last one times out. A loss is thus detected as fast as with two polls of
+	// 120 ms. If one poll in ten loses a packet, one VM in 10,000 is marked as unresponsive
+	// instead of one in 100; a group has up to 32 VMs.
 	minUrgentTimeout = 60 * time.Millisecond
 	maxPollTimeout   = 400 * time.Millisecond
 	// maxDownPollInterval bounds the time between polls of a VM that is down, which doubles
--- a/internal/core/steward/flight_test.go
+++ b/internal/core/steward/flight_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("serving %d large and %d small groups of 292 VMs after 4 s, want groups on at least 256 VMs", large, small)
 	}
 	for _, id := range si.fleet.IDs()[:73] {
-		si.cut(id, true)
+		si.setUnreachable(id, true)
 	}
 	si.reportStalls()
 	watch(time.Second)
--- a/internal/core/steward/form.go
+++ b/internal/core/steward/form.go
@@ -94,7 +94,7 @@
 	return mb == nil || isSpare(mb.Group)
 }
 
-// reservedVMs returns the VMs of planned groups that have not joined them yet.
+// reserved returns the VMs of planned groups that have not joined them yet.
 func (co *Core) reserved() map[string]bool {
 	reserved := make(map[string]bool)
 	for _, gr := range co.groups {
@@ -177,7 +177,7 @@
 	return co.sendJoins(gr)
 }
 
-// plan adds a new group to the table of groups, with the next epoch and a name from it.
+// plan adds a new group to the table of groups, with the next epoch and a name derived from it.
 func (co *Core) plan(prefix, service, model string, members []string, now time.Time) *group {
 	epoch := co.epoch()
 	gr := &group{name: fmt.Sprintf("%s%d-%d", prefix, co.Term, co.epochCounter), epoch: epoch, service: service,
--- a/internal/core/steward/hold_test.go
+++ b/internal/core/steward/hold_test.go
@@ -70,23 +70,23 @@
 		}},
 		{"cut head", func(si *simulation) {
 			gr := si.core.Groups()[0]
-			si.cut(gr.Head().ID, true)
+			si.setUnreachable(gr.Head().ID, true)
 			si.runWithStallReports(3 * time.Second)
-			si.cut(gr.Head().ID, false)
+			si.setUnreachable(gr.Head().ID, false)
 		}},
 		{"cut member", func(si *simulation) {
 			gr := si.core.Groups()[0]
-			si.cut(gr.Members[2].ID, true)
+			si.setUnreachable(gr.Members[2].ID, true)
 			si.runWithStallReports(8 * time.Second)
-			si.cut(gr.Members[2].ID, false)
+			si.setUnreachable(gr.Members[2].ID, false)
 		}},
 		{"lost answers", func(si *simulation) {
-			si.lostAnswers = 0.3
+			si.lostOrderResponses = 0.3
 			for range 4 {
 				si.killOne()
 				si.runWithStallReports(2 * time.Second)
 			}
-			si.lostAnswers = 0
+			si.lostOrderResponses = 0
 		}},
 		{"late orders", func(si *simulation) {
 			si.lateOrders = 0.3
@@ -117,12 +117,12 @@
 		{"domain dark", func(si *simulation) {
 			for _, id := range si.fleet.IDs() {
 				if ep, _ := si.fleet.Entry(id, si.now); ep.Domain == "domain-0" {
-					si.cut(id, true)
+					si.setUnreachable(id, true)
 				}
 			}
 			si.runWithStallReports(8 * time.Second)
 			for _, id := range si.fleet.IDs() {
-				si.cut(id, false)
+				si.setUnreachable(id, false)
 			}
 		}},
 		{"store away", func(si *simulation) {
@@ -178,9 +178,9 @@
 	si.kill(gr.Members[si.rnd.IntN(len(gr.Members))].ID)
 }
 
-// cut disconnects a VM from the network or reconnects it.
-func (si *simulation) cut(id string, cut bool) {
-	si.fleet.Update(id, func(vm *emulator.VM) { vm.Unreachable = cut })
+// setUnreachable disconnects a VM from the network or reconnects it.
+func (si *simulation) setUnreachable(id string, unreachable bool) {
+	si.fleet.Update(id, func(vm *emulator.VM) { vm.Unreachable = unreachable })
 }
 
 // stallDetectTime is how long daemons take to detect stalled streams.
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -6,7 +6,7 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// stepGroup advances one group towards serving or towards its dissolution.
+// stepGroup advances one group toward serving or toward its dissolution.
 func (co *Core) stepGroup(gr *group, now time.Time) []Call {
 	if gr.spare() {
 		return co.stepSpare(gr, now)
@@ -15,7 +15,8 @@
 		return co.dissolve(gr)
 	}
 	if gr.model == "" {
-		// No member has reported its model yet, so the size of the group is not known.
+		// The members are still loading: none has reported a model yet, so the size of the
+		// group is not known.
 		return nil
 	}
 	if why := co.broken(gr, now); why != "" {
@@ -139,9 +140,9 @@
 	return []Call{co.command(head, catalog.OpenGroup{Group: gr.name, Epoch: gr.epoch})}
 }
 
-// mustDrain reports whether the group is to be drained: it makes room for another model, a
-// member leaves or is slow and replaceable, or the head is not registered and can't be sent
-// requests.
+// mustDrain reports whether the group is to be drained: its VMs are reassigned to another
+// model, a member leaves or is slow and replaceable, or the head is not registered and can't be
+// sent requests.
 func (co *Core) mustDrain(gr *group) bool {
 	if gr.reassigned || !co.vms[gr.members[0]].registered {
 		return true
@@ -154,8 +155,8 @@
 	return false
 }
 
-// drain waits for the group's requests and then dissolves the group. While the group is draining, the published
-// view tells daemons to send it no new requests.
+// drain waits until the group has finished its requests and then dissolves it. Meanwhile the
+// published view marks the group as leaving, so that daemons send it no new requests.
 func (co *Core) drain(gr *group, head *vm, now time.Time) []Call {
 	if gr.drainingSince.IsZero() {
 		gr.drainingSince = now
--- a/internal/core/steward/loads.go
+++ b/internal/core/steward/loads.go
@@ -109,8 +109,8 @@
 }
 
 // gains reports whether a domain is better off with another group of the model than with the
-// spares it would be made of. That spares are idle until a group loses a member is no reason
-// to convert them: a group of sixteen without a spare is lost with its first member.
+// spares it would be made of. Spares are idle until a group loses a member, but this alone does
+// not justify converting them: a group of sixteen without a spare is lost with its first member.
 func (cv *conversions) gains(co *Core, service string, en *catalog.Engine, ch *loadChoice, mi int) bool {
 	if cv.plan == nil {
 		cv.plan = co.currentSplits(service, en)
@@ -157,7 +157,8 @@
 }
 
 // loadFor returns the VM of a domain that should load the model, or nil. The value is the
-// reciprocal of the number of loads that the next group lacks.
+// reciprocal of the number of loads that the next group lacks, times partialGroupValue if the
+// domain has too few VMs to complete it.
 func loadFor(do *domain, mo catalog.Model, have int, now time.Time) *loadChoice {
 	missing := mo.Size - have%mo.Size
 	var pick *vm
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -53,7 +53,7 @@
 	}
 	before := si.core.Groups()
 	si.storeDown = true
-	si.lostCalls = 0.2
+	si.lostPollResponses = 0.2
 	for i, id := range si.fleet.IDs() {
 		if i%8 == 0 && !heads[id] {
 			delete(si.entries, id)
@@ -66,8 +66,8 @@
 
 // maxLostShare is the largest share of poll responses that a schedule loses, ten times that of
 // links that lose packets. Responses take up to maxPollTimeout plus the queueing delay at the
-// steward. A VM that never responds, or not within the poll timeout of a member, can't be
-// distinguished from a dead one.
+// steward. A VM that never responds, or never within the poll timeout, can't be distinguished
+// from a dead one.
 const maxLostShare = 0.25
 
 // No VM is lost, but poll responses are lost, late, or queue for the steward's CPU, and
@@ -81,7 +81,7 @@
 			si.runInitialLoads(4 * time.Second)
 			before := si.core.Groups()
 			si.cpuPerCall = time.Duration(si.rnd.Int64N(int64(2 * callCPUTime)))
-			si.lostCalls = maxLostShare * si.rnd.Float64()
+			si.lostPollResponses = maxLostShare * si.rnd.Float64()
 			si.slowCalls = si.rnd.Float64()
 			si.maxDelay = maxPollTimeout
 			for range 40 {
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -34,7 +34,8 @@
 	released []*group
 	// added are available VMs that the new groups need in addition.
 	added []*vm
-	gain  float64
+	// gain is the expected reduction of the congestion, averaged over rebalanceHorizon.
+	gain float64
 }
 
 // rebalance exchanges groups of one model for groups of another whose groups are far busier,
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -77,6 +77,7 @@
 // Guards against a split that starves a model or never converges, for random demands that
 // change over time.
 func TestSplitConverges(t *testing.T) {
+	// In the last part of each phase, of length quiet, the split must not change any more.
 	const phases, phase, quiet = 2, 34 * time.Second, 10 * time.Second
 	for _, seed := range []uint64{2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -88,12 +89,12 @@
 				changes := si.runWithDemand(large, small, phase-quiet)
 				late := si.runWithDemand(large, small, quiet)
 				la, sm := si.serving()
-				t.Logf("demand for %.1f large and %.1f small groups: serving %d and %d after %d changes, and %d more in the quiet phase", large, small, la, sm, changes, late)
+				t.Logf("demand for %.1f large and %.1f small groups: serving %d and %d after %d changes, and %d more in the last part", large, small, la, sm, changes, late)
 				if la == 0 || sm == 0 {
 					t.Errorf("a model has no group: serving %d large and %d small groups", la, sm)
 				}
 				if changes > 12 || late > 0 {
-					t.Errorf("%d changes and %d more in the quiet phase, want at most 12 and 0: the split does not converge", changes, late)
+					t.Errorf("%d changes and %d more in the last part, want at most 12 and 0: the split does not converge", changes, late)
 				}
 			}
 		})
--- a/internal/core/steward/restart.go
+++ b/internal/core/steward/restart.go
@@ -13,8 +13,8 @@
 		co.handleRestart(vm, ep, now)
 		return
 	}
-	// The VM's report has already announced the restart, and its entry is older: the store is
-	// unavailable, or the VM's next heartbeat is due.
+	// The VM's report has already announced the restart, and its entry is not updated yet: the
+	// store is unavailable, or the VM has not sent its next heartbeat.
 	vm.registered = true
 	vm.pollBy(now)
 }
--- a/internal/core/steward/restart_test.go
+++ b/internal/core/steward/restart_test.go
@@ -30,7 +30,7 @@
 			si.storeDown = true
 			si.restart(id)
 			si.runWithStallReports(2 * time.Second)
-			si.checkFormedWithout(id)
+			si.checkCurrentIncarnation(id)
 			si.storeDown = false
 		}},
 		{"while an order is under way", func(si *simulation, id string) {
@@ -66,7 +66,7 @@
 			id := si.groupWithSpare().Members[1].ID
 			tc.run(si, id)
 			si.runWithStallReports(2 * time.Second)
-			si.checkFormedWithout(id)
+			si.checkCurrentIncarnation(id)
 			si.runWithStallReports(4 * time.Second)
 			if after := len(si.core.Groups()); after < before-1 {
 				t.Errorf("serving %d groups, %d before the restart; want at most one fewer", after, before)
@@ -194,9 +194,9 @@
 	return rankedGroup{}
 }
 
-// checkFormedWithout checks that no group the steward reports as serving relies on an earlier
-// incarnation of the VM.
-func (si *simulation) checkFormedWithout(id string) {
+// checkCurrentIncarnation checks that no group the steward reports as serving relies on an
+// earlier incarnation of the VM.
+func (si *simulation) checkCurrentIncarnation(id string) {
 	si.t.Helper()
 	re, ok := si.fleet.Report(id, si.now)
 	for _, gr := range si.core.Groups() {
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -67,8 +67,8 @@
 	// Urgent polls get a short timeout: they decide whether a member of a serving group is
 	// down.
 	Urgent bool
-	// Timeout counts from when the poll is sent. After it the poll counts as
-	// failed, but a report that arrives later is still processed.
+	// Timeout counts from when the poll is sent. After it the poll counts as failed, but a
+	// report that arrives later is still processed.
 	Timeout time.Duration
 }
 
@@ -175,7 +175,8 @@
 	epoch   int64
 	service string
 	model   string
-	// members are the VM IDs by rank; an ID is empty until that member has been seen.
+	// members are the VM IDs by rank; an ID is empty until that member has been seen. The
+	// member of rank 0 is the head, which receives the group's requests.
 	members []string
 	// planned is when this steward planned the group; zero for groups discovered from reports.
 	planned time.Time
@@ -196,7 +197,7 @@
 	drainingSince time.Time
 	// openOrderedAt is when the head accepted the order to open.
 	openOrderedAt time.Time
-	// reassigned is set if the group makes room for another model. It is drained first.
+	// reassigned is set if the group's VMs are to load another model. It is drained first.
 	reassigned bool
 	// dissolving is set once the group is to be dissolved, whatever its members report.
 	dissolving bool
@@ -205,7 +206,8 @@
 // Core is the steward's state. It is not safe for concurrent use. Set the exported fields
 // before the first call.
 type Core struct {
-	// Term is the steward's term. Epochs and group names are derived from it.
+	// Term is the number of the steward's term. Later stewards have higher terms. Epochs and
+	// group names are derived from it.
 	Term int64
 	// InitialLoads is set until callers have sent the first requests. Until then loads are not
 	// rate-limited.
@@ -232,8 +234,8 @@
 	startedAt time.Time
 	// incompleteGroups are the keys of groups that have lost a restored member.
 	incompleteGroups map[groupKey]bool
-	// rebalanceAt is when to check next whether groups should be exchanged for another
-	// model's.
+	// rebalanceAt is when to check next whether groups of one model should be exchanged for
+	// groups of another.
 	rebalanceAt time.Time
 	events      []Event
 }
--- a/internal/core/steward/suspicion.go
+++ b/internal/core/steward/suspicion.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// HandleStallReport handles a daemon's report that a group's streams are stalled, and polls all members
-// of the group at once. The flag own marks a report by the steward's own daemon. Many daemons
-// detect the same stall at the same time; their reports within stallReportInterval share one
-// round of polls.
+// HandleStallReport handles a daemon's report that a group's streams are stalled, and polls all
+// members of the group at once. The flag own marks a report by the steward's own daemon. Many
+// daemons detect the same stall at the same time; their reports within stallReportInterval
+// share one round of polls.
 func (co *Core) HandleStallReport(name string, epoch int64, own bool, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil {
@@ -56,8 +56,9 @@
 	}
 }
 
-// HandleProgressReport handles a daemon's report that the streams of a group it had reported as stalled
-// make progress again. A replica stalls if any of its members does, so all of them are alive.
+// HandleProgressReport handles a daemon's report that the streams of a group it had reported as
+// stalled make progress again. A replica stalls if any of its members does, so all of them are
+// alive.
 func (co *Core) HandleProgressReport(name string, epoch int64, now time.Time) {
 	gr := co.groups[groupKey{name, epoch}]
 	if gr == nil || gr.dissolving {
--- a/internal/core/steward/view.go
+++ b/internal/core/steward/view.go
@@ -19,6 +19,8 @@
 	return groups
 }
 
+// describe returns a complete group as the view publishes it, with the slowness of its slowest
+// member.
 func (co *Core) describe(gr *group) catalog.Group {
 	cg := catalog.Group{Name: gr.name, Epoch: gr.epoch, Service: gr.service, Model: gr.model,
 		DataCenter: co.vms[gr.members[0]].ep.DataCenter, Leaving: !gr.drainingSince.IsZero()}
@@ -40,6 +42,8 @@
 
 // Stats counts groups and VMs by state, for metrics and logs.
 type Stats struct {
+	// Serving, Forming and Broken count groups, Spares, Down and Stranded count VMs. Broken
+	// groups are being dissolved. Stranded VMs are up but belong to no group.
 	Serving, Forming, Broken, Spares, Down, Stranded int
 	// ByModel is the number of serving groups of each model.
 	ByModel map[string]int
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -24,18 +24,18 @@
 	queue []timer
 	// entries are the entries registered in the store.
 	entries map[string]catalog.Endpoint
-	// lostAnswers and lateOrders are the shares of orders whose response is lost or that are
-	// carried out late.
-	lostAnswers, lateOrders float64
+	// lostOrderResponses and lateOrders are the shares of orders whose response is lost or
+	// that are carried out late.
+	lostOrderResponses, lateOrders float64
 	// storeDown is set while the store is unavailable and changed entries do not reach the
 	// steward.
 	storeDown bool
 	// vmCount counts the VMs added so far.
 	vmCount int
-	// lostCalls is the share of polls whose response is lost. slowCalls is the share of calls
-	// that are delayed by up to maxDelay.
-	lostCalls, slowCalls float64
-	maxDelay             time.Duration
+	// lostPollResponses is the share of polls whose response is lost. slowCalls is the share
+	// of calls that are delayed by up to maxDelay.
+	lostPollResponses, slowCalls float64
+	maxDelay                     time.Duration
 	// cpuPerCall is the CPU time of the steward's machine that a call takes, and cpuFreeAt
 	// when all calls so far have been processed.
 	cpuPerCall time.Duration
@@ -53,9 +53,9 @@
 const (
 	// simStep is the simulated time of one step.
 	simStep = 10 * time.Millisecond
-	// callTime is the round-trip time to an endpoint, orderLimit the timeout of an order.
-	callTime   = 3 * time.Millisecond
-	orderLimit = 120 * time.Millisecond
+	// callTime is the round-trip time to an endpoint, orderTimeout the timeout of an order.
+	callTime     = 3 * time.Millisecond
+	orderTimeout = 120 * time.Millisecond
 	// entryTTL is how long the entry of a VM that died remains.
 	entryTTL = 3600 * time.Millisecond
 )
@@ -214,7 +214,7 @@
 	sentAt := si.now
 	si.pollCount++
 	re, ok := si.fleet.Report(po.ID, si.now)
-	ok = ok && si.rnd.Float64() >= si.lostCalls
+	ok = ok && si.rnd.Float64() >= si.lostPollResponses
 	took := si.callTime()
 	if ok {
 		si.after(took, func() { si.core.HandleReport(po.ID, re, sentAt, si.now) })
@@ -242,12 +242,12 @@
 	if si.rnd.Float64() < si.lateOrders {
 		late := 2*time.Second + time.Duration(si.rnd.Int64N(int64(10*time.Second)))
 		si.queue = append(si.queue, timer{si.now.Add(late), func() { si.fleet.Order(cd.ID, cd.Order, cd.IfOrders, si.now) }})
-		si.after(orderLimit, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
+		si.after(orderTimeout, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
 		return
 	}
 	status := si.fleet.Order(cd.ID, cd.Order, cd.IfOrders, si.now)
-	if status == 0 || si.rnd.Float64() < si.lostAnswers {
-		si.after(orderLimit, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
+	if status == 0 || si.rnd.Float64() < si.lostOrderResponses {
+		si.after(orderTimeout, func() { si.core.HandleOutcome(cd, Unanswered, si.now) })
 		return
 	}
 	out := Refused
