--- a/internal/core/control/action.go
+++ b/internal/core/control/action.go
@@ -11,8 +11,9 @@
 // Probe requests a report from the engine on a VM.
 type Probe struct{ VM fleet.VM }
 
-// Pull requests a peer's digest. Revision is the revision of this daemon's own
-// document; it lets the peer detect that its copy is missing or out of date.
+// Pull requests a PullAnswer from a peer. Revision is the revision of this
+// daemon's own document; it lets the peer detect that its copy is missing or
+// out of date.
 type Pull struct {
 	Peer     string
 	Revision uint64
@@ -38,7 +39,7 @@
 	Wait  bool
 }
 
-// BroadcastRevocation tells peers that a group is no longer complete. No event
+// BroadcastRevocation notifies peers that a group is no longer complete. No event
 // answers it.
 type BroadcastRevocation struct {
 	Group string
--- a/internal/core/control/control.go
+++ b/internal/core/control/control.go
@@ -31,7 +31,7 @@
 	// from time to time later.
 	Seeds  []string
 	Timing Timing
-	// Policy parameterizes the planner.
+	// Policy is the placement and repair policy of the planner.
 	Policy fleet.Policy
 }
 
@@ -41,7 +41,7 @@
 	// requests prove that the VM's group is complete.
 	Probe time.Duration
 	Sweep time.Duration
-	// Permit is the lifetime of a permit, counted from its evidence.
+	// Permit is the lifetime of a permit, counted from permit.Evidence.At.
 	Permit time.Duration
 	// Pull is the interval between rounds of pulls from peers.
 	Pull time.Duration
--- a/internal/core/control/engine_test.go
+++ b/internal/core/control/engine_test.go
@@ -123,8 +123,8 @@
 	return fence < re.Fence || fence == re.Fence && generation < re.Generation
 }
 
-// actualReport returns the state of a VM's engine, as opposed to what the
-// daemons know about it, and whether the engine works.
+// actualReport returns the state of a VM's engine, as opposed to the
+// daemons' observations of it, and whether the engine works.
 func (w *simulation) actualReport(vm string) (fleet.Report, bool) {
 	en := w.engines[vm]
 	return en.report, !en.down && !en.unresponsive
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -133,7 +133,8 @@
 // VMsRead is the result of ReadVMs. VMs is nil if the read failed.
 type VMsRead struct{ VMs []fleet.VM }
 
-// OrderDone reports that an order was answered or abandoned.
+// OrderDone reports that the engine answered an order or that sending it
+// failed.
 type OrderDone struct{ VM string }
 
 func (Tick) isEvent()                   {}
--- a/internal/core/control/evidence_test.go
+++ b/internal/core/control/evidence_test.go
@@ -34,7 +34,7 @@
 	}
 	answer("a", 300*time.Millisecond)
 	if permitted() {
-		t.Error("permit granted although b was last probed before a was observed unchanged")
+		t.Error("permit granted although b was probed only once, before the second probe of a")
 	}
 	answer("b", 400*time.Millisecond)
 	if !permitted() {
--- a/internal/core/control/hold_test.go
+++ b/internal/core/control/hold_test.go
@@ -309,7 +309,7 @@
 			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
 		// The steward's process dies and restarts before the others notice:
-		// they still have it as steward and wait for it.
+		// they still consider it the steward and wait for it.
 		{"restart", func(t *testing.T, w *simulation) {
 			st := w.steward("gent")
 			st.kill()
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -15,7 +15,7 @@
 )
 
 // PullAnswer is a daemon's answer to a pull. It is kept small because every
-// daemon sends and receives several per second.
+// daemon requests about pullFanout of them per Timing.Pull.
 type PullAnswer struct {
 	// Name is the answering daemon, DocsHash the hash of its document table,
 	// and ConfigRevision the revision of its configuration, 0 if it has none.
@@ -75,7 +75,7 @@
 	co.applyDoc(gossip.Doc{Name: name, Revision: revision, Value: raw})
 }
 
-// leave publishes the state Leaving and gives up the stewardship.
+// leave publishes the state Leaving and ends the stewardship of this daemon.
 func (co *Core) leave() {
 	if co.state == gossip.Leaving {
 		return
--- a/internal/core/control/sources.go
+++ b/internal/core/control/sources.go
@@ -91,20 +91,20 @@
 // failing only if all of its probers report it as failing: a single prober may
 // be cut off from a VM that works.
 func (co *Core) mergedObservations() map[string]fleet.Observation {
-	seen := make(map[string]fleet.Observation)
+	merged := make(map[string]fleet.Observation)
 	for _, name := range sortedKeys(co.steward.probers) {
 		so := co.steward.probers[name]
 		if co.now.Sub(so.at) > proberStateMaxAge {
 			continue
 		}
 		for vm, si := range so.vms {
-			old, ok := seen[vm]
+			old, ok := merged[vm]
 			if !ok || preferred(si, old) {
-				seen[vm] = si
+				merged[vm] = si
 			}
 		}
 	}
-	return seen
+	return merged
 }
 
 // preferred reports whether si takes precedence over other: a succeeding
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -49,7 +49,7 @@
 )
 
 // stewardState is the part of the Core that serves the stewardship. Except for
-// announced, it is reset when this daemon acquires or gives up the stewardship.
+// announced, it is reset when this daemon becomes steward or steps down.
 type stewardState struct {
 	role  stewardRole
 	lease string
@@ -224,6 +224,7 @@
 		}
 	case LeaseLost:
 		if st.role != follower {
+			// This daemon no longer holds the lease, so stepDown must not release it.
 			st.role = expiredHolder
 			co.stepDown()
 		}
@@ -438,8 +439,9 @@
 	co.emitOnce(keyOrder+vm.Name, SendOrder{Order: or})
 }
 
-// refillLoadBudget limits the rate of weight loads to Policy.LoadsPerMinute,
-// for the sake of the weight store.
+// refillLoadBudget limits the rate of weight loads to Policy.LoadsPerMinute, to
+// stay within the limit of the weight store. A rate of 0 means that only
+// loadBurst applies.
 func (co *Core) refillLoadBudget() {
 	st := &co.steward
 	rate := co.cfg.Policy.LoadsPerMinute
--- a/internal/core/control/world_test.go
+++ b/internal/core/control/world_test.go
@@ -234,8 +234,8 @@
 }
 
 // call sends a message and delivers the answer. handle runs on the receiving
-// side and passes the event to deliver to answer. The event failed is delivered
-// instead if there is no answer within callTimeout.
+// side and calls answer with the event to deliver to the sender. If that event
+// does not arrive within callTimeout, failed is delivered instead.
 func (w *simulation) call(no *node, to string, failed control.Event, handle func(answer func(control.Event))) {
 	incarnation, done := no.incarnation, false
 	finish := func(ev control.Event) {
