--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -48,9 +48,11 @@
 	View int64 `cbor:"10,keyasint,omitempty"`
 	// Config is the store's revision of the configuration in force, 0 for none.
 	Config int64 `cbor:"11,keyasint,omitempty"`
-	// Age is the time since the store last confirmed the daemon's state.
+	// Age is the time since the store last confirmed the daemon's copy of the stored
+	// state.
 	Age time.Duration `cbor:"12,keyasint,omitempty"`
-	// Served is set once the daemons have received a request from a caller.
+	// Served is set once any daemon, as far as the sender knows, has received a request
+	// from a caller.
 	Served bool `cbor:"13,keyasint,omitempty"`
 	// Work is the load that requests in flight put on groups. WorkOf says whose
 	// requests it counts.
@@ -124,9 +126,8 @@
 }
 
 const (
-	// maxDatagramBytes bounds a received datagram, which UDP limits to 64 KB. Most
-	// heartbeats fit into one packet; the network fragments larger ones, which only
-	// costs time.
+	// maxDatagramBytes bounds a received datagram, which UDP limits to 64 KB. The
+	// network fragments a datagram that exceeds one packet, which only costs time.
 	maxDatagramBytes = 60 << 10
 	// aliveTimeout is the minimum time for which a daemon counts as alive after its
 	// last heartbeat.
--- a/internal/mesh/call.go
+++ b/internal/mesh/call.go
@@ -99,7 +99,7 @@
 	return raw, rev, eris.Wrap(err, "peer configuration: invalid revision header")
 }
 
-// Daemons fetches the IP addresses of the daemons that the daemon at ip knows.
+// Daemons fetches the IP addresses of the daemons known to the daemon at ip.
 func (cl *Client) Daemons(ctx context.Context, ip string) ([]string, error) {
 	raw, _, err := cl.get(ctx, ip, PathDaemons)
 	if err != nil {
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -111,26 +111,26 @@
 			if total > tc.perSecond*10*11/10 {
 				t.Errorf("sent %d heartbeats in 10 s, want at most %d", total, tc.perSecond*10)
 			}
-			others := WorkNone
+			othersWork := WorkNone
 			if tc.loadWork == WorkRelayed || tc.others <= maxDirectPeers {
-				others = tc.loadWork
+				othersWork = tc.loadWork
 			}
-			for _, want := range []struct{ num, beats int }{{1, tc.load}, {4, tc.local}, {2, tc.remote}} {
-				work := others
+			for _, want := range []struct{ num, heartbeats int }{{1, tc.load}, {4, tc.local}, {2, tc.remote}} {
+				work := othersWork
 				if want.num == 1 {
 					work = tc.loadWork
 				}
-				if got := sent[recipientOf(want.num, work)]; got < want.beats*8/10 || got > want.beats+2 {
-					t.Errorf("sent daemon %d %d heartbeats in 10 s, want about %d; without work: %v", want.num, got, want.beats, sent[recipientOf(want.num, WorkNone)])
+				if got := sent[recipientOf(want.num, work)]; got < want.heartbeats*8/10 || got > want.heartbeats+2 {
+					t.Errorf("sent daemon %d %d heartbeats in 10 s, want about %d; without work: %v", want.num, got, want.heartbeats, sent[recipientOf(want.num, WorkNone)])
 				}
 			}
 		})
 	}
 }
 
-// Guards against a dead daemon that its peers name to callers for seconds: they
-// receive its heartbeats only at long intervals, so the steward, which receives them
-// often, has to report it as unresponsive. Reports of other daemons do not count.
+// Guards against peers that direct callers to a dead daemon for seconds: they receive
+// its heartbeats only at long intervals, so the steward, which receives them often,
+// has to report it as unresponsive. Reports of other daemons do not count.
 func TestStewardReportsUnresponsiveDaemons(t *testing.T) {
 	const others, dead = 67, 4
 	steward, peer := newTestMesh(others), newTestMesh(others)
--- a/internal/mesh/send.go
+++ b/internal/mesh/send.go
@@ -75,8 +75,8 @@
 	return true
 }
 
-// AnyDue reports whether a heartbeat is due to any daemon, so that the caller need not
-// build one in vain.
+// AnyDue reports whether a heartbeat is due to any daemon, so that the caller builds
+// one only if it is needed.
 func (me *Mesh) AnyDue() bool {
 	me.mu.Lock()
 	defer me.mu.Unlock()
--- a/internal/mesh/silent.go
+++ b/internal/mesh/silent.go
@@ -27,8 +27,8 @@
 
 const (
 	// stewardSettleTime is how long a new steward reports no unresponsive daemons.
-	// Until the others know it as the steward, they send it heartbeats only at the peer
-	// interval.
+	// Until the others recognize it as the steward, they send it heartbeats only at the
+	// peer interval.
 	stewardSettleTime = 1500 * time.Millisecond
 	// unresponsiveTimeout is the time without heartbeats after which the steward
 	// reports a daemon as unresponsive. After unresponsiveReportTime it stops, because
