--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -28,7 +28,8 @@
 	kindClaim
 )
 
-// PullRequest requests the digest. The response is control.PullAnswer.
+// PullRequest requests the daemon's document hash, configuration revision and permit
+// evidence. The response is control.PullAnswer.
 type PullRequest struct {
 	// From is the peer address of the requesting daemon, Revision the revision of its
 	// own document. Both are empty in requests for status pages.
@@ -53,8 +54,8 @@
 	After uint64 `cbor:"1,keyasint"`
 }
 
-// ObservationsRequest requests the observations that changed since a revision. The
-// response is control.ObservationsAnswer.
+// ObservationsRequest requests the observations that changed after change number
+// Since. The response is control.ObservationsAnswer.
 type ObservationsRequest struct {
 	Since uint64 `cbor:"1,keyasint"`
 }
