--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,6 +1,7 @@
-// Package caller serves the callers: OpenAI-style completions, plain services
-// under their routes, and the addresses to use. Every refusal and failure
-// tells the caller whether the request may have run.
+// Package caller implements the HTTP API for callers: OpenAI-compatible
+// completions, calls to plain services by route, and the list of daemon
+// addresses. Every refusal and failure carries a verdict that states whether
+// the request may have run.
 package caller
 
 import (
@@ -29,25 +30,30 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
+// Limits of a caller's request. A caller may set its own timeout, up to
+// maxTimeout.
 const (
 	maxBodyBytes   = 8 << 20
 	bodyTimeout    = time.Minute
 	defaultTimeout = 5 * time.Minute
 	maxTimeout     = time.Hour
-	// startLimit bounds the wait for a first dispatch where the caller set no
-	// shorter timeout.
-	startLimit = 30 * time.Second
+	// maxStartWait bounds the wait in the admission queue if the caller's own
+	// timeout is not shorter.
+	maxStartWait = 30 * time.Second
 )
 
-// Control is the daemon's control state as traffic sees it.
+// Control gives request handlers access to the daemon's control state.
 type Control interface {
-	// View returns the present view.
+	// View returns the current view. Callers must not modify it.
 	View() *control.View
-	// Post hands an event to the control state without waiting.
+	// Post queues an event for the control state. It blocks only while the
+	// event queue is full, and never for a control.ResponseStarted, which is
+	// then dropped.
 	Post(ev control.Event)
 }
 
-// Server serves callers. Set the exported fields before Handler.
+// Server handles the requests of callers. Set the exported fields before
+// calling Handler.
 type Server struct {
 	Control  Control
 	Clock    clock.Clock
@@ -57,11 +63,12 @@
 	Services endpoint.Services
 	Claims   *claims.Book
 	Journal  *Journal
-	// DataCenter is this daemon's own.
+	// DataCenter is the name of the data centre that this daemon runs in.
 	DataCenter string
-	// Stall is how long an engine may send nothing.
-	Stall time.Duration
-	// EntriesLifetime is how long callers may keep an answer of /v1/entries.
+	// StallTimeout is the longest time between two chunks from an engine before
+	// the attempt fails.
+	StallTimeout time.Duration
+	// EntriesLifetime is how long callers may cache a response of /v1/entries.
 	EntriesLifetime time.Duration
 
 	budget   *retry.Budget
@@ -69,7 +76,7 @@
 	inFlight inFlight
 }
 
-// Handler returns the handler for callers.
+// Handler returns the HTTP handler for callers.
 func (se *Server) Handler() http.Handler {
 	se.budget = retry.NewBudget()
 	mux := http.NewServeMux()
@@ -79,14 +86,15 @@
 	mux.HandleFunc("POST /v1/completions", se.authorized(se.complete))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok\n") })
 	mux.HandleFunc("GET /readyz", se.readyz)
-	mux.HandleFunc("/", se.authorized(se.service))
+	mux.HandleFunc("/", se.authorized(se.serveCall))
 	return mux
 }
 
-// Drain refuses new requests and returns when none is in flight or ctx ends.
-func (se *Server) Drain(ctx context.Context) error { return se.inFlight.close(ctx) }
+// Drain refuses new requests and waits for the ones in flight. It returns the
+// error of ctx if that ends first.
+func (se *Server) Drain(ctx context.Context) error { return se.inFlight.drain(ctx) }
 
-// exchange is one authorized request of a caller.
+// exchange is one request of a caller and the state of its response.
 type exchange struct {
 	id        string
 	workspace intent.Workspace
@@ -97,34 +105,36 @@
 	priority  int
 	deadline  time.Time
 	record    *Record
-	// begun says that the answer's header has been written.
-	begun bool
+	// headerWritten is true once the header of a streamed response has been
+	// written.
+	headerWritten bool
 }
 
 type exchangeHandler func(ctx context.Context, ex *exchange) error
 
-// authorized finds the workspace, reads the body and bounds the time, and
-// reports the error that next returns.
+// authorized wraps next: it finds the caller's workspace by its key, reads the
+// body, sets the deadline, and reports the error that next returns.
 func (se *Server) authorized(next exchangeHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		ex := &exchange{id: uuid.NewString(), view: se.Control.View(), w: w, req: req}
-		if !se.inFlight.enter() {
+		if !se.inFlight.begin() {
 			writeError(w, ex.id, &verdict.Error{Code: verdict.CodeStopping, Verdict: verdict.NotRun, RetryAfter: time.Second,
 				Message: "this daemon is stopping; ask /v1/entries for another"})
 			return
 		}
-		defer se.inFlight.leave()
+		defer se.inFlight.end()
 		w.Header().Set(endpoint.HeaderRequestID, ex.id)
-		ex.record = se.Journal.open(ex.id, req.URL.Path, se.Clock.Now())
+		ex.record = se.Journal.newRecord(ex.id, req.URL.Path, se.Clock.Now())
 		ctx, cancel, err := se.prepare(ex)
 		if err == nil {
 			err = next(ctx, ex)
 			cancel()
 		}
-		se.close(ex, err)
-		if ex.begun && err != nil {
-			// Part of the answer is out: breaking the transfer off is the only
-			// way left to show that it is not whole.
+		se.recordOutcome(ex, err)
+		if ex.headerWritten && err != nil {
+			// The status and a part of the body have been sent. Aborting the
+			// connection is the only way left to signal that the response is
+			// incomplete.
 			panic(http.ErrAbortHandler)
 		}
 		if err != nil {
@@ -133,13 +143,13 @@
 	}
 }
 
-func (se *Server) close(ex *exchange, err error) {
+func (se *Server) recordOutcome(ex *exchange, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = string(verdict.As(err).Code)
 	}
 	metrics.GetOrCreateCounter(`corianderhub_requests_total{workspace="` + ex.workspace.Name + `",outcome="` + outcome + `"}`).Inc()
-	ex.record.close(outcome, err)
+	ex.record.finish(outcome, err)
 }
 
 func (se *Server) prepare(ex *exchange) (context.Context, context.CancelFunc, error) {
@@ -152,7 +162,7 @@
 		return nil, nil, &verdict.Error{Code: verdict.CodeUnauthorized, Verdict: verdict.NotRun, Message: "unknown workspace key"}
 	}
 	ex.workspace = wo
-	ex.record.workspace(wo.Name)
+	ex.record.setWorkspace(wo.Name)
 	timeout, err := timeoutOf(ex.req)
 	if err != nil {
 		return nil, nil, err
@@ -168,8 +178,8 @@
 	return ctx, cancel, nil
 }
 
-// readBody reads the whole body within bodyTimeout. The limit is set for the
-// reading alone: a read timeout of the server would end long streams too.
+// readBody reads the whole body within bodyTimeout. The deadline applies to the
+// body only: the ReadTimeout of http.Server would also end long streams.
 func readBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
 	rc := http.NewResponseController(w)
 	if err := rc.SetReadDeadline(time.Now().Add(bodyTimeout)); err != nil {
@@ -230,27 +240,28 @@
 func writeJSON(w http.ResponseWriter, status int, val any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone: there is nobody left to tell.
+	// A write fails only if the caller has disconnected; there is no one to
+	// report it to.
 	_ = json.NewEncoder(w).Encode(val)
 }
 
-// entries answers with the serving daemons, those of this data center first.
-// A daemon that leaves is not among them, and goes on serving for the
-// lifetime of answers given before.
+// entries responds with the serving daemons, those of this data centre first. A
+// leaving daemon is not listed, but keeps serving for the lifetime of the
+// responses that listed it.
 func (se *Server) entries(w http.ResponseWriter, _ *http.Request) {
 	vi := se.Control.View()
 	an := hub.Entries{Addresses: []string{}, LifetimeMS: se.EntriesLifetime.Milliseconds()}
-	var far []string
+	var remote []string
 	for _, dm := range vi.Daemons {
 		switch {
 		case dm.State != gossip.Serving:
 		case dm.DataCenter == se.DataCenter:
 			an.Addresses = append(an.Addresses, dm.Caller)
 		default:
-			far = append(far, dm.Caller)
+			remote = append(remote, dm.Caller)
 		}
 	}
-	an.Addresses = append(an.Addresses, far...)
+	an.Addresses = append(an.Addresses, remote...)
 	writeJSON(w, http.StatusOK, an)
 }
 
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -20,86 +20,91 @@
 )
 
 const (
-	// bytesPerToken estimates a prompt's tokens from its length.
+	// bytesPerToken estimates the number of tokens of a prompt from its length.
 	bytesPerToken = 4
-	// defaultMaxTokens estimates an answer whose length is not limited.
+	// defaultMaxTokens is the estimated length of a response if the request
+	// sets no limit.
 	defaultMaxTokens = 256
-	// maxAttempts bounds the attempts at one completion.
+	// maxAttempts is the maximum number of attempts for one completion.
 	maxAttempts = 6
-	// resumeWait is how long a broken answer waits for a group to go on with.
-	resumeWait  = 5 * time.Second
-	resumePause = 50 * time.Millisecond
+	// maxResumeWait bounds the wait for a group that can resume an interrupted
+	// response. resumePollInterval is the time between two tries to pick one.
+	maxResumeWait      = 5 * time.Second
+	resumePollInterval = 50 * time.Millisecond
 )
 
 var (
-	firstToken = metrics.NewSummary("corianderhub_first_token_seconds")
-	tokens     = metrics.NewCounter("corianderhub_tokens_total")
-	resumes    = metrics.NewCounter("corianderhub_resumes_total")
+	firstTokenSeconds = metrics.NewSummary("corianderhub_first_token_seconds")
+	tokensTotal       = metrics.NewCounter("corianderhub_tokens_total")
+	resumesTotal      = metrics.NewCounter("corianderhub_resumes_total")
 )
 
-// completion is a completion request on its way.
+// completion is the state of one completion request.
 type completion struct {
-	ex      *exchange
-	pool    *pool
-	fields  map[string]json.RawMessage
-	model   string
-	adapter string
-	stream  bool
-	chat    bool
-	limit   int
-	rq      route.Request
-	on      once
-	out     answerWriter
-	// sent is the text passed on to the caller so far, count its tokens.
-	sent   strings.Builder
-	count  int
-	finish string
-	usage  json.RawMessage
+	ex        *exchange
+	pool      *pool
+	fields    map[string]json.RawMessage
+	model     string
+	adapter   string
+	stream    bool
+	chat      bool
+	maxTokens int
+	routing   route.Request
+	guard     atMostOnce
+	out       completionWriter
+	// sentText is the text received from engines so far, which a stream has
+	// passed on to the caller. sentTokens is the number of its tokens.
+	sentText     strings.Builder
+	sentTokens   int
+	finishReason string
+	usage        json.RawMessage
 }
 
 // complete handles /v1/chat/completions and /v1/completions.
 func (se *Server) complete(ctx context.Context, ex *exchange) error {
-	co, err := se.parse(ex)
+	co, err := se.parseCompletion(ex)
 	if err != nil {
 		return err
 	}
 	if ex.req.Header.Get(hub.HeaderNotRepeatable) == "true" {
 		var outcome *claim.Outcome
-		co.on, outcome, err = se.acquire(ctx, ex)
+		co.guard, outcome, err = se.acquireClaim(ctx, ex)
 		if err != nil {
 			return err
 		}
 		if outcome != nil {
-			writeRecorded(ex.w, outcome)
+			writeRecordedOutcome(ex.w, outcome)
 			return nil
 		}
 	}
-	err = se.admitted(ctx, co)
+	err = se.admitAndRun(ctx, co)
 	if err != nil {
-		se.settle(co.on, err, nil)
+		se.settleClaim(co.guard, err, nil)
 		return co.out.fail(verdict.As(err))
 	}
-	se.settle(co.on, nil, co.outcome())
-	return co.out.done(co)
+	se.settleClaim(co.guard, nil, co.outcome())
+	return co.out.finish(co)
 }
 
-// outcome is what is recorded of a completion that must not repeat. A stream
-// is recorded by its status alone.
+// outcome returns what is recorded for a completion that must run at most once.
+// For a stream only the status is recorded.
 func (co *completion) outcome() *claim.Outcome {
 	if co.stream {
 		return &claim.Outcome{Status: 200, Omitted: true}
 	}
-	raw, err := json.Marshal(co.whole())
+	raw, err := json.Marshal(co.responseBody())
 	return &claim.Outcome{Status: 200, ContentType: "application/json", Body: raw, Omitted: err != nil}
 }
 
-func (se *Server) parse(ex *exchange) (*completion, error) {
+// parseCompletion reads the request body and estimates its load. It returns a
+// bad-request error if a field is missing or has the wrong type.
+func (se *Server) parseCompletion(ex *exchange) (*completion, error) {
 	co := &completion{ex: ex, chat: strings.HasSuffix(ex.req.URL.Path, "/chat/completions")}
 	if err := json.Unmarshal(ex.body, &co.fields); err != nil {
 		return nil, badRequest("the body is not a JSON object: " + err.Error())
 	}
 	var name string
-	if err := co.field("model", &name); err != nil || name == "" {
+	if err := co.decodeField("model", &name); err != nil || name == "" {
 		return nil, badRequest(`"model" must name a model`)
 	}
 	co.model, co.adapter, _ = strings.Cut(name, ":")
@@ -107,11 +112,11 @@
 	if !ok || co.adapter != "" && !slices.Contains(mo.Adapters, co.adapter) {
 		return nil, &verdict.Error{Code: verdict.CodeNoRoute, Verdict: verdict.NotRun, Message: "no model " + strconv.Quote(name) + " is declared"}
 	}
-	if err := co.field("stream", &co.stream); err != nil {
+	if err := co.decodeField("stream", &co.stream); err != nil {
 		return nil, badRequest(`"stream" must be true or false`)
 	}
 	for _, key := range []string{"max_tokens", "max_completion_tokens"} {
-		if err := co.field(key, &co.limit); err != nil || co.limit < 0 {
+		if err := co.decodeField(key, &co.maxTokens); err != nil || co.maxTokens < 0 {
 			return nil, badRequest(strconv.Quote(key) + " must be a whole number above zero")
 		}
 	}
@@ -127,13 +132,15 @@
 		return nil, errNoGroup()
 	}
 	prompt := string(co.fields[content])
-	co.rq.Prefixes = route.Prefixes(make([]uint64, 0, 4), name, prompt)
-	co.rq.PromptTokens = int64(len(prompt) / bytesPerToken)
-	co.out = newWriter(co)
+	co.routing.Prefixes = route.Prefixes(make([]uint64, 0, 4), name, prompt)
+	co.routing.PromptTokens = int64(len(prompt) / bytesPerToken)
+	co.out = newCompletionWriter(co)
 	return co, nil
 }
 
-func (co *completion) field(key string, into any) error {
+// decodeField decodes a field of the request into a value. A missing or null
+// field leaves the value unchanged.
+func (co *completion) decodeField(key string, into any) error {
 	raw, ok := co.fields[key]
 	if !ok || string(raw) == "null" {
 		return nil
@@ -141,21 +148,24 @@
 	return json.Unmarshal(raw, into)
 }
 
-func (co *completion) tokens() int64 {
-	limit := co.limit
+// estimatedTokens returns the estimated load of the request: its prompt tokens
+// plus its response limit, or defaultMaxTokens if it sets none.
+func (co *completion) estimatedTokens() int64 {
+	limit := co.maxTokens
 	if limit == 0 {
 		limit = defaultMaxTokens
 	}
-	return co.rq.PromptTokens + int64(limit)
+	return co.routing.PromptTokens + int64(limit)
 }
 
-// admitted waits for the workspace's turn and then runs the completion.
-func (se *Server) admitted(ctx context.Context, co *completion) error {
-	start := se.Clock.Now().Add(startLimit)
+// admitAndRun waits until the model's queue admits the request and then runs
+// it.
+func (se *Server) admitAndRun(ctx context.Context, co *completion) error {
+	start := se.Clock.Now().Add(maxStartWait)
 	if co.ex.deadline.Before(start) {
 		start = co.ex.deadline
 	}
-	num := co.tokens()
+	num := co.estimatedTokens()
 	err := co.pool.gate.enter(ctx, admit.Item{
 		Workspace: co.ex.workspace.Name,
 		Share:     co.ex.workspace.Share,
@@ -167,103 +177,108 @@
 		return err
 	}
 	defer co.pool.gate.leave(num)
-	return se.attempts(ctx, co)
+	return se.runAttempts(ctx, co)
 }
 
-// attempts tries groups until the answer is whole. After a failure the next
-// group goes on from the tokens that the caller has.
-func (se *Server) attempts(ctx context.Context, co *completion) error {
+// runAttempts tries groups until the response is complete. After a failure the
+// next group resumes after the tokens already sent.
+func (se *Server) runAttempts(ctx context.Context, co *completion) error {
 	se.budget.Earn()
 	for try := 1; ; try++ {
-		had := co.count
-		gr := se.pick(ctx, co)
+		sentBefore := co.sentTokens
+		gr := se.pickGroup(ctx, co)
 		if gr == nil {
-			return co.failed(errNoGroup())
+			return co.adjustVerdict(errNoGroup())
 		}
 		ve := se.attempt(ctx, co, gr)
-		if ve == nil || co.finish != "" && ctx.Err() == nil {
-			// The engine said that the text is at its end; only what follows
-			// the text was lost, if anything.
+		if ve == nil || co.finishReason != "" && ctx.Err() == nil {
+			// The engine has sent a finish reason, so the text is complete.
+			// Only what follows the text, such as the usage, can be missing.
 			return nil
 		}
-		if !co.mayGoOn(ve) || ctx.Err() != nil || try == maxAttempts {
-			return co.failed(ve)
+		if !co.mayContinue(ve) || ctx.Err() != nil || try == maxAttempts {
+			return co.adjustVerdict(ve)
 		}
-		// An attempt that brought the answer forward costs the next one only
-		// what is left, so resuming it does not multiply load. One that did not
-		// is a retry, of which a fault must not cause too many.
-		if co.count == had && !se.budget.Spend() {
-			return co.failed(ve)
+		// An attempt that added tokens leaves less work for the next one, so
+		// resuming does not multiply the load. An attempt without progress is a
+		// retry and counts against the retry budget, which limits the extra
+		// load that a fault causes.
+		if co.sentTokens == sentBefore && !se.budget.Spend() {
+			return co.adjustVerdict(ve)
 		}
-		if co.count > 0 {
-			resumes.Inc()
+		if co.sentTokens > 0 {
+			resumesTotal.Inc()
 		}
 	}
 }
 
-// mayGoOn tells whether another attempt may follow the failure.
-func (co *completion) mayGoOn(ve *verdict.Error) bool {
+// mayContinue reports whether another attempt is allowed after the failure. A
+// response that has begun can be resumed only for a chat, since only a message
+// list can be extended by the partial response.
+func (co *completion) mayContinue(ve *verdict.Error) bool {
 	if ve.Code == verdict.CodeBadRequest || ve.Code == verdict.CodeCallerGone {
 		return false
 	}
-	resumable := co.count == 0 || co.chat
-	return resumable && co.on.mayRetry(ve, true)
+	resumable := co.sentTokens == 0 || co.chat
+	return resumable && co.guard.mayRetry(ve, true)
 }
 
-// failed returns the error for the caller. Once part of the answer was given,
-// what an engine refused since does not make the whole request not run.
-func (co *completion) failed(ve *verdict.Error) error {
-	if co.count > 0 {
+// adjustVerdict returns the error for the caller. If tokens have been sent, the
+// request has run in part, even if the last engine refused it.
+func (co *completion) adjustVerdict(ve *verdict.Error) error {
+	if co.sentTokens > 0 {
 		ve.Verdict = verdict.MayHaveRun
 	}
 	return ve
 }
 
-// attempt sends the request to a group and returns nil once it is answered.
+// attempt sends the request to a group. It returns nil once the response is
+// complete, and otherwise records the failure for the explain API.
 func (se *Server) attempt(ctx context.Context, co *completion, gr *route.Group) *verdict.Error {
-	co.rq.Exclude = append(co.rq.Exclude, gr)
+	co.routing.Exclude = append(co.routing.Exclude, gr)
 	err := se.send(ctx, co, gr)
 	if err == nil {
 		return nil
 	}
 	ve := verdict.As(err)
-	co.ex.record.attempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: ve.Error(), Load: gr.Load()})
+	co.ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: ve.Error(), Load: gr.Load()})
 	return ve
 }
 
-// pick returns a group that was not tried, or else one that was: a broken
-// stream does not mean that the group is gone. A caller who has part of the
-// answer waits a little for a group; others get their refusal at once.
-func (se *Server) pick(ctx context.Context, co *completion) *route.Group {
-	for waited := time.Duration(0); ; waited += resumePause {
-		if gr := co.pool.router.Pick(co.rq); gr != nil {
+// pickGroup returns a group that has not been tried, or else any group: an
+// interrupted stream does not mean that the group is lost. If the caller has
+// part of the response, it waits up to maxResumeWait for a group; otherwise it
+// returns nil at once, so that the request is refused without delay.
+func (se *Server) pickGroup(ctx context.Context, co *completion) *route.Group {
+	for waited := time.Duration(0); ; waited += resumePollInterval {
+		if gr := co.pool.router.Pick(co.routing); gr != nil {
 			return gr
 		}
-		co.rq.Exclude = nil
-		if gr := co.pool.router.Pick(co.rq); gr != nil {
+		co.routing.Exclude = nil
+		if gr := co.pool.router.Pick(co.routing); gr != nil {
 			return gr
 		}
-		if co.count == 0 || waited >= resumeWait || se.Clock.Sleep(ctx, resumePause) != nil {
+		if co.sentTokens == 0 || waited >= maxResumeWait || se.Clock.Sleep(ctx, resumePollInterval) != nil {
 			return nil
 		}
 	}
 }
 
-// send makes one attempt at a group.
+// send makes one attempt at a group and passes the chunks of the response on.
 func (se *Server) send(ctx context.Context, co *completion, gr *route.Group) error {
 	ta, ok := se.Control.View().Find(gr.ID)
 	if !ok {
-		return notPermitted()
+		return errNotPermitted()
 	}
-	body, err := co.body()
+	body, err := co.engineRequest()
 	if err != nil {
 		return badRequest(err.Error())
 	}
-	num := co.tokens()
+	num := co.estimatedTokens()
 	gr.Begin(num)
 	defer gr.End(num)
-	co.pool.router.Remember(co.rq, gr)
-	co.ex.record.attempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: "picked", Load: gr.Load()})
+	co.pool.router.Remember(co.routing, gr)
+	co.ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: "picked", Load: gr.Load()})
 	at := &delivery{se: se, co: co, gr: gr, target: ta, sentAt: se.Clock.Now()}
 	return se.Engines.Complete(ctx, endpoint.Completion{
 		RequestID: co.ex.id,
@@ -272,12 +287,12 @@
 		Fence:     ta.Group.Fence,
 		Path:      co.ex.req.URL.Path,
 		Body:      body,
-		Stall:     se.Stall,
-		Before:    at.permitted,
-	}, at.chunk)
+		Stall:     se.StallTimeout,
+		Before:    at.checkPermit,
+	}, at.relayChunk)
 }
 
-// delivery passes the chunks of one attempt on.
+// delivery passes the chunks of one attempt to the caller.
 type delivery struct {
 	se     *Server
 	co     *completion
@@ -287,30 +302,33 @@
 	last   time.Time
 }
 
-func notPermitted() *verdict.Error {
+func errNotPermitted() *verdict.Error {
 	return &verdict.Error{Code: verdict.CodeNoGroup, Verdict: verdict.NotRun, RetryAfter: time.Second,
 		Message: "the group may not be sent to now"}
 }
 
-// permitted checks the permit right before the request leaves. The view that
-// the group was picked from may be old: the daemon may have been frozen since,
-// or a member may have been lost. Time alone ends the permit.
-func (de *delivery) permitted() *verdict.Error {
+// checkPermit validates the permit immediately before the request is sent. The
+// view that the group was picked from may be outdated: the process may have
+// been suspended, or a member may have been lost. Permits expire by time alone,
+// so this check needs no message from other daemons.
+func (de *delivery) checkPermit() *verdict.Error {
 	ta, ok := de.se.Control.View().Find(de.target.Group.ID)
 	if !ok || ta.Group.Fence != de.target.Group.Fence || !ta.Permit.Valid(de.se.Clock.Now()) {
-		return notPermitted()
+		return errNotPermitted()
 	}
 	return nil
 }
 
-func (de *delivery) chunk(ch endpoint.Chunk) error {
+// relayChunk records a chunk and passes its text on. The first chunk of an
+// attempt is posted to the control state as evidence that the group is complete.
+func (de *delivery) relayChunk(ch endpoint.Chunk) error {
 	now := de.se.Clock.Now()
 	co := de.co
 	if de.last.IsZero() {
 		de.se.Control.Post(control.ResponseStarted{Group: de.target.Group.ID, Fence: de.target.Group.Fence,
 			Leader: de.target.Permit.Leader, SentAt: de.sentAt})
-		if co.count == 0 {
-			firstToken.Update(now.Sub(co.ex.record.Begin).Seconds())
+		if co.sentTokens == 0 {
+			firstTokenSeconds.Update(now.Sub(co.ex.record.Begin).Seconds())
 		}
 	} else if ch.Text != "" {
 		de.gr.RecordTokenGap(now.Sub(de.last))
@@ -320,30 +338,31 @@
 		co.usage = ch.Usage
 	}
 	if ch.Text != "" {
-		tokens.Inc()
-		co.count++
-		co.sent.WriteString(ch.Text)
+		tokensTotal.Inc()
+		co.sentTokens++
+		co.sentText.WriteString(ch.Text)
 	}
 	if ch.Finish != "" {
-		co.finish = ch.Finish
+		co.finishReason = ch.Finish
 	}
 	if ch.Text == "" && ch.Finish == "" {
 		return nil
 	}
-	return co.out.chunk(ch)
+	return co.out.writeChunk(ch)
 }
 
-// body returns the request for the engine: streamed always, since flowing
-// tokens are the only proof of progress, and with the text that the caller
-// has when the answer is resumed.
-func (co *completion) body() ([]byte, error) {
+// engineRequest returns the request body for the engine. It always requests a
+// stream, since only a flow of tokens shows progress. When a response is
+// resumed, the text already sent is appended as a partial message of the
+// assistant.
+func (co *completion) engineRequest() ([]byte, error) {
 	fields := make(map[string]json.RawMessage, len(co.fields)+3)
 	for key, raw := range co.fields {
 		fields[key] = raw
 	}
 	fields["stream"] = json.RawMessage("true")
 	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
-	if co.count == 0 {
+	if co.sentTokens == 0 {
 		return json.Marshal(fields)
 	}
 	var messages []json.RawMessage
@@ -353,16 +372,16 @@
 	partial, err := json.Marshal(struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
-	}{"assistant", co.sent.String()})
+	}{"assistant", co.sentText.String()})
 	if err != nil {
 		return nil, err
 	}
 	fields["messages"], err = json.Marshal(append(messages, partial))
 	fields["continue_final_message"] = json.RawMessage("true")
 	fields["add_generation_prompt"] = json.RawMessage("false")
-	if co.limit > 0 {
+	if co.maxTokens > 0 {
 		delete(fields, "max_completion_tokens")
-		fields["max_tokens"] = json.RawMessage(strconv.Itoa(max(1, co.limit-co.count)))
+		fields["max_tokens"] = json.RawMessage(strconv.Itoa(max(1, co.maxTokens-co.sentTokens)))
 	}
 	if err != nil {
 		return nil, err
--- a/internal/caller/inflight.go
+++ b/internal/caller/inflight.go
@@ -5,43 +5,45 @@
 	"sync"
 )
 
-// inFlight counts requests, and closes for new ones when the daemon stops. A
-// request that came between the last count and the end of the process would
-// be cut off; once closed it is refused instead. The zero value is open.
+// inFlight counts the requests in flight and stops admitting new ones when the
+// daemon drains. Counting and admission share one lock: a request admitted
+// after the last count would be cut off at process exit, so it is refused
+// instead. The zero value admits requests.
 type inFlight struct {
 	mu     sync.Mutex
-	num    int
+	count  int
 	closed bool
 	idle   chan struct{}
 }
 
-// enter counts a request and tells whether it may go on; leave must follow.
-func (in *inFlight) enter() bool {
+// begin counts a request and reports whether it is admitted. If it is, the
+// caller must call end.
+func (in *inFlight) begin() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.closed {
 		return false
 	}
-	in.num++
+	in.count++
 	return true
 }
 
-func (in *inFlight) leave() {
+func (in *inFlight) end() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.num--
-	if in.closed && in.num == 0 {
+	in.count--
+	if in.closed && in.count == 0 {
 		close(in.idle)
 	}
 }
 
-// close refuses new requests and returns when none is left or ctx ends.
-func (in *inFlight) close(ctx context.Context) error {
+// drain refuses new requests and waits until none is in flight or ctx ends.
+func (in *inFlight) drain(ctx context.Context) error {
 	in.mu.Lock()
 	if !in.closed {
 		in.closed = true
 		in.idle = make(chan struct{})
-		if in.num == 0 {
+		if in.count == 0 {
 			close(in.idle)
 		}
 	}
--- a/internal/caller/inflight_test.go
+++ b/internal/caller/inflight_test.go
@@ -5,23 +5,24 @@
 	"testing"
 )
 
-// A daemon stops while a request is under way, and another arrives at that
-// moment. The first is waited for; the second is refused and not cut off.
-func TestInFlight(t *testing.T) {
+// Guards against a request cut off at shutdown. One request is in flight when
+// the daemon drains, and another arrives afterwards: drain waits for the first,
+// and the second is refused.
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	var in inFlight
-	if !in.enter() {
-		t.Fatal("refused while open")
+	if !in.begin() {
+		t.Fatal("begin() = false before drain, want true")
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	if in.close(ended) == nil {
-		t.Error("closed with a request under way")
+	if in.drain(ended) == nil {
+		t.Error("drain returned nil with a request in flight, want the context's error")
 	}
-	if in.enter() {
-		t.Error("let a request in after closing")
+	if in.begin() {
+		t.Error("begin() = true after drain, want false")
 	}
-	in.leave()
-	if err := in.close(context.Background()); err != nil {
+	in.end()
+	if err := in.drain(context.Background()); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/caller/journal.go
+++ b/internal/caller/journal.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// journalSize is how many requests a daemon can explain.
+// journalSize is the number of requests that the journal keeps.
 const journalSize = 4096
 
-// Journal remembers how the last requests were handled. The zero value is
-// ready for use.
+// Journal keeps how the most recent requests were handled, for the explain API
+// of operators. When it is full, the oldest record is evicted. The zero value
+// is ready for use.
 type Journal struct {
 	mu      sync.Mutex
 	records map[string]*Record
 	order   []string
 }
 
-// Record is the handling of one request.
+// Record holds the handling of one request. It is safe for concurrent use.
 type Record struct {
 	mu sync.Mutex
 	RecordData
 }
 
-// RecordData is what a Record holds.
+// RecordData is the content of a Record as the explain API returns it.
 type RecordData struct {
 	ID        string    `json:"id"`
 	Path      string    `json:"path"`
@@ -33,18 +34,21 @@
 	Error     string    `json:"error,omitempty"`
 }
 
-// Attempt is one dispatch, or the decision not to dispatch.
+// Attempt is one step in the handling of a request: a dispatch to a target, or
+// its result.
 type Attempt struct {
 	At time.Time `json:"at"`
-	// Target is the group or address.
+	// Target is the ID of a group or the address of a service.
 	Target string `json:"target"`
-	// Reason says why the target was chosen, or what came of it.
+	// Reason states why the target was chosen, or the result of the attempt.
 	Reason string `json:"reason"`
-	// Load is the target's estimated load in tokens.
+	// Load is the estimated load of a group in tokens at that time.
 	Load int64 `json:"load"`
 }
 
-func (jo *Journal) open(id, path string, now time.Time) *Record {
+// newRecord adds a record for a request and evicts the oldest one if there are
+// more than journalSize.
+func (jo *Journal) newRecord(id, path string, now time.Time) *Record {
 	re := &Record{RecordData: RecordData{ID: id, Path: path, Begin: now}}
 	jo.mu.Lock()
 	defer jo.mu.Unlock()
@@ -60,7 +64,7 @@
 	return re
 }
 
-// Find returns what is known of a request.
+// Find returns a copy of the record of a request, and false if there is none.
 func (jo *Journal) Find(id string) (RecordData, bool) {
 	jo.mu.Lock()
 	re, ok := jo.records[id]
@@ -75,19 +79,19 @@
 	return data, true
 }
 
-func (re *Record) workspace(name string) {
+func (re *Record) setWorkspace(name string) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.Workspace = name
 }
 
-func (re *Record) attempt(at Attempt) {
+func (re *Record) addAttempt(at Attempt) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.Attempts = append(re.Attempts, at)
 }
 
-func (re *Record) close(outcome string, err error) {
+func (re *Record) finish(outcome string, err error) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.Outcome = outcome
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -11,24 +11,26 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
+// claimTimeout bounds the claim of a key, and its release.
 const claimTimeout = 5 * time.Second
 
-// once guards a request that must run at most once. The zero value guards
-// nothing.
-type once struct {
-	// marked says that the request must not repeat.
-	marked bool
-	// op holds the claim, if the request has an idempotency key.
+// atMostOnce is the guard of a request that must not run twice. The zero value
+// is the guard of a request that may be repeated.
+type atMostOnce struct {
+	// required is true if the request must not run twice.
+	required bool
+	// op is the granted claim, or nil if the request has no idempotency key.
 	op *claim.Op
 }
 
-// acquire claims the request's key before anything is dispatched. It returns
-// the recorded outcome of an earlier run, if there is one. Without a key the
-// request is dispatched at most once by this daemon and never retried.
-func (se *Server) acquire(ctx context.Context, ex *exchange) (once, *claim.Outcome, error) {
+// acquireClaim claims the idempotency key of a request before it is dispatched.
+// If an earlier request with the key has run, it returns the recorded outcome.
+// A request without a key is guarded within this daemon only: it is not
+// dispatched again after an attempt that may have run.
+func (se *Server) acquireClaim(ctx context.Context, ex *exchange) (atMostOnce, *claim.Outcome, error) {
 	key := ex.req.Header.Get(hub.HeaderIdempotencyKey)
 	if key == "" {
-		return once{marked: true}, nil, nil
+		return atMostOnce{required: true}, nil, nil
 	}
 	ck := claim.NewKey(ex.workspace.Name, key)
 	op := claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: uuid.NewString(),
@@ -38,30 +40,31 @@
 	res := se.Claims.Do(ctx, op)
 	switch res.Answer {
 	case claim.Granted:
-		return once{marked: true, op: &op}, nil, nil
+		return atMostOnce{required: true, op: &op}, nil, nil
 	case claim.Finished:
 		if res.Outcome != nil && !res.Outcome.Omitted {
-			return once{}, res.Outcome, nil
+			return atMostOnce{}, res.Outcome, nil
 		}
-		return once{}, nil, &verdict.Error{Code: verdict.CodeDuplicate, Verdict: verdict.Ran,
+		return atMostOnce{}, nil, &verdict.Error{Code: verdict.CodeDuplicate, Verdict: verdict.Ran,
 			Message: "the request with this key has run; its answer was too large to record"}
 	case claim.Duplicate:
-		return once{}, nil, &verdict.Error{Code: verdict.CodeDuplicate, Verdict: verdict.MayHaveRun, RetryAfter: time.Second,
+		return atMostOnce{}, nil, &verdict.Error{Code: verdict.CodeDuplicate, Verdict: verdict.MayHaveRun, RetryAfter: time.Second,
 			Message: "a request with this key was dispatched before and may have run"}
 	case claim.Mismatch:
-		return once{}, nil, &verdict.Error{Code: verdict.CodeKeyReused, Verdict: verdict.NotRun,
+		return atMostOnce{}, nil, &verdict.Error{Code: verdict.CodeKeyReused, Verdict: verdict.NotRun,
 			Message: "the key was used for another request"}
 	}
-	// The claim may have been stored although no answer came: it is given
-	// back, so that the caller's retry is not taken for a duplicate.
+	// The claim may have been stored although its response was lost. It is
+	// released, so that a retry of the caller is not refused as a duplicate.
 	se.Claims.Settle(op)
-	return once{}, nil, &verdict.Error{Code: verdict.CodeNoClaim, Verdict: verdict.NotRun, RetryAfter: 2 * time.Second,
+	return atMostOnce{}, nil, &verdict.Error{Code: verdict.CodeNoClaim, Verdict: verdict.NotRun, RetryAfter: 2 * time.Second,
 		Message: "the key could not be claimed, so the request was not dispatched"}
 }
 
-// settle stores what came of a claimed request. A request that may have run
-// keeps its claim: nobody will dispatch its key again.
-func (se *Server) settle(on once, err error, outcome *claim.Outcome) {
+// settleClaim records the outcome of a claimed request, or releases its claim
+// if the request has not run. A request that may have run keeps its claim, so
+// that its key is never dispatched again.
+func (se *Server) settleClaim(on atMostOnce, err error, outcome *claim.Outcome) {
 	if on.op == nil {
 		return
 	}
@@ -74,13 +77,14 @@
 		op.Outcome = outcome
 		se.Claims.Record(op)
 	case verdict.Of(err) == verdict.NotRun:
-		se.giveBack(op)
+		se.releaseClaim(op)
 	}
 }
 
-// giveBack releases a claim before the caller is told that the request was
-// not run, so that its next try is not taken for a duplicate.
-func (se *Server) giveBack(op claim.Op) {
+// releaseClaim releases a claim. It returns only after the release is confirmed
+// or handed to the background: the caller's next try must not be refused as a
+// duplicate.
+func (se *Server) releaseClaim(op claim.Op) {
 	op.Kind = claim.Release
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
@@ -89,10 +93,11 @@
 	}
 }
 
-// mayRetry tells whether a failed attempt may be followed by another.
-func (on once) mayRetry(err error, repeatable bool) bool {
+// mayRetry reports whether a failed attempt may be followed by another. An
+// attempt that may have run is retried only if the call is repeatable.
+func (on atMostOnce) mayRetry(err error, repeatable bool) bool {
 	if verdict.Of(err) == verdict.NotRun {
 		return true
 	}
-	return repeatable && !on.marked
+	return repeatable && !on.required
 }
--- a/internal/caller/pools.go
+++ b/internal/caller/pools.go
@@ -24,13 +24,14 @@
 	byModel map[string]*pool
 }
 
-// pool is what requests for one model share.
+// pool is the state shared by all requests for one model.
 type pool struct {
 	router *route.Router
-	gate   *gate
+	gate   *admissionGate
 }
 
-// Update takes over a new view of the groups.
+// Update applies a new view: it updates the groups of each model and the
+// capacity of its gate.
 func (ps *Pools) Update(vi *control.View) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -50,26 +51,28 @@
 		})
 	}
 	for name := range vi.Config.Models {
-		po := ps.pool(name)
+		po := ps.poolLocked(name)
 		po.router.Update(targets[name])
-		po.gate.setCapacity(capacity(po.router.Groups(), servingDaemons(vi)))
+		po.gate.setCapacity(daemonCapacity(po.router.Groups(), countServingDaemons(vi)))
 	}
 }
 
-// pool returns the pool of a model. Callers hold mu.
-func (ps *Pools) pool(model string) *pool {
+// poolLocked returns the pool of a model, creating it if needed. The caller must
+// hold ps.mu.
+func (ps *Pools) poolLocked(model string) *pool {
 	if ps.byModel == nil {
 		ps.byModel = make(map[string]*pool)
 	}
 	po, ok := ps.byModel[model]
 	if !ok {
-		po = &pool{router: route.New(ps.Policy), gate: newGate(ps.Clock)}
+		po = &pool{router: route.New(ps.Policy), gate: newAdmissionGate(ps.Clock)}
 		ps.byModel[model] = po
 	}
 	return po
 }
 
-// find returns the pool of a declared model.
+// find returns the pool of a declared model, and false if no view has declared
+// it.
 func (ps *Pools) find(model string) (*pool, bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -77,11 +80,12 @@
 	return po, ok
 }
 
-// capacity is how many tokens this daemon may have open: its part of every
-// group, and beyond that its part of what the group's report shows as free.
-// Daemons so share a group without asking each other, and one with more
-// callers than its neighbours takes what they leave.
-func capacity(groups []*route.Group, daemons int) int64 {
+// daemonCapacity returns how many tokens this daemon may have in flight: per
+// group the larger of an equal share of its capacity, and the tokens already in
+// flight plus an equal share of the free capacity in the group's report.
+// Daemons share a group this way without coordination, and a daemon with more
+// callers uses what the others leave free.
+func daemonCapacity(groups []*route.Group, daemons int) int64 {
 	total := int64(0)
 	for _, gr := range groups {
 		part := gr.Capacity() / int64(daemons)
@@ -91,7 +95,7 @@
 	return total
 }
 
-func servingDaemons(vi *control.View) int {
+func countServingDaemons(vi *control.View) int {
 	num := 0
 	for _, dm := range vi.Daemons {
 		if dm.State == gossip.Serving {
@@ -101,8 +105,8 @@
 	return max(1, num)
 }
 
-// gate is an admission queue that requests can wait at.
-type gate struct {
+// admissionGate is an admission queue with blocking waits.
+type admissionGate struct {
 	clock  clock.Clock
 	nextID atomic.Uint64
 
@@ -111,12 +115,13 @@
 	waiting map[uint64]chan struct{}
 }
 
-func newGate(cl clock.Clock) *gate {
-	return &gate{clock: cl, queue: admit.New(0, cl.Now()), waiting: make(map[uint64]chan struct{})}
+func newAdmissionGate(cl clock.Clock) *admissionGate {
+	return &admissionGate{clock: cl, queue: admit.New(0, cl.Now()), waiting: make(map[uint64]chan struct{})}
 }
 
-// enter returns nil once the request may go on; leave must follow.
-func (ga *gate) enter(ctx context.Context, it admit.Item) error {
+// enter waits until the request is admitted and returns nil; the caller must
+// then call leave. Otherwise it returns an error with verdict not-run.
+func (ga *admissionGate) enter(ctx context.Context, it admit.Item) error {
 	it.ID = ga.nextID.Add(1)
 	ga.mu.Lock()
 	if ga.queue.Capacity() == 0 {
@@ -139,7 +144,7 @@
 	return ga.wait(ctx, it, start)
 }
 
-func (ga *gate) wait(ctx context.Context, it admit.Item, start <-chan struct{}) error {
+func (ga *admissionGate) wait(ctx context.Context, it admit.Item, start <-chan struct{}) error {
 	ctx, cancel := context.WithTimeout(ctx, it.Deadline.Sub(ga.clock.Now()))
 	defer cancel()
 	select {
@@ -151,27 +156,28 @@
 	defer ga.mu.Unlock()
 	delete(ga.waiting, it.ID)
 	if !ga.queue.Cancel(it.Workspace, it.ID) {
-		// It was admitted at the same moment.
-		ga.release(ga.queue.Finish(ga.clock.Now(), it.Tokens))
+		// The request was admitted concurrently; its tokens go to the next
+		// ones.
+		ga.start(ga.queue.Finish(ga.clock.Now(), it.Tokens))
 	}
 	return &verdict.Error{Code: verdict.CodeDeadline, Verdict: verdict.NotRun, RetryAfter: time.Second,
 		Message: "the request did not start before its deadline"}
 }
 
-func (ga *gate) leave(tokens int64) {
+func (ga *admissionGate) leave(tokens int64) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.release(ga.queue.Finish(ga.clock.Now(), tokens))
+	ga.start(ga.queue.Finish(ga.clock.Now(), tokens))
 }
 
-func (ga *gate) setCapacity(tokens int64) {
+func (ga *admissionGate) setCapacity(tokens int64) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.release(ga.queue.SetCapacity(ga.clock.Now(), tokens))
+	ga.start(ga.queue.SetCapacity(ga.clock.Now(), tokens))
 }
 
-// release lets admitted requests go on. Callers hold mu.
-func (ga *gate) release(items []admit.Item) {
+// start wakes the admitted requests. The caller must hold ga.mu.
+func (ga *admissionGate) start(items []admit.Item) {
 	for _, it := range items {
 		if start, ok := ga.waiting[it.ID]; ok {
 			close(start)
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -18,41 +18,44 @@
 
 const (
 	defaultCallTimeout = 30 * time.Second
-	// maxCalls bounds the attempts of one call.
-	maxCalls = 3
-	// shunTime is how long an address that failed is tried last.
-	shunTime = 2 * time.Second
+	// maxCallAttempts is the maximum number of attempts for one call.
+	maxCallAttempts = 3
+	// failureBackoff is how long an address is tried only after all others once
+	// a call to it has failed.
+	failureBackoff = 2 * time.Second
 )
 
-// service routes a call to a plain service.
-func (se *Server) service(ctx context.Context, ex *exchange) error {
+// serveCall routes a call to a plain service.
+func (se *Server) serveCall(ctx context.Context, ex *exchange) error {
 	en, ok := endpointOf(ex.view.Config, ex.req.URL.Path)
 	if !ok {
 		return &verdict.Error{Code: verdict.CodeNoRoute, Verdict: verdict.NotRun, Message: "no endpoint has this route"}
 	}
-	var on once
+	var on atMostOnce
 	if ex.req.Header.Get(hub.HeaderNotRepeatable) == "true" || notRepeatable(en, ex.req) {
 		var outcome *claim.Outcome
 		var err error
-		on, outcome, err = se.acquire(ctx, ex)
+		on, outcome, err = se.acquireClaim(ctx, ex)
 		if err != nil {
 			return err
 		}
 		if outcome != nil {
-			writeRecorded(ex.w, outcome)
+			writeRecordedOutcome(ex.w, outcome)
 			return nil
 		}
 	}
 	an, err := se.call(ctx, ex, en, on)
 	if err != nil {
-		se.settle(on, err, nil)
+		se.settleClaim(on, err, nil)
 		return err
 	}
-	se.settle(on, nil, &claim.Outcome{Status: an.Status, ContentType: an.Header.Get("Content-Type"), Body: an.Body})
-	writeAnswer(ex.w, an)
+	se.settleClaim(on, nil, &claim.Outcome{Status: an.Status, ContentType: an.Header.Get("Content-Type"), Body: an.Body})
+	writeResponse(ex.w, an)
 	return nil
 }
 
+// endpointOf returns the endpoint whose route is a prefix of the path. Routes
+// do not overlap.
 func endpointOf(cfg *intent.Config, path string) (intent.Endpoint, bool) {
 	for _, en := range cfg.Endpoints {
 		if strings.HasPrefix(path, en.Route) {
@@ -62,6 +65,8 @@
 	return intent.Endpoint{}, false
 }
 
+// notRepeatable reports whether a rule "METHOD /path" of the endpoint matches
+// the request.
 func notRepeatable(en intent.Endpoint, req *http.Request) bool {
 	for _, rule := range en.NotRepeatable {
 		method, path, _ := strings.Cut(rule, " ")
@@ -72,7 +77,7 @@
 	return false
 }
 
-// idempotent tells whether the method alone makes a call repeatable.
+// idempotent reports whether the HTTP method makes a call repeatable.
 func idempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -81,8 +86,8 @@
 	return false
 }
 
-// call makes attempts until one succeeds or no further one is allowed.
-func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on once) (endpoint.Answer, error) {
+// call makes attempts until one succeeds or no further attempt is allowed.
+func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on atMostOnce) (endpoint.Answer, error) {
 	se.budget.Earn()
 	timeout := time.Duration(en.Timeout)
 	if timeout == 0 {
@@ -101,33 +106,35 @@
 			Address:   addr,
 			Method:    ex.req.Method,
 			Path:      ex.req.URL.RequestURI(),
-			Header:    forwarded(ex),
+			Header:    forwardedHeader(ex),
 			Body:      ex.body,
-			Once:      on.marked,
+			Once:      on.required,
 			Timeout:   timeout,
 		})
 		if err == nil {
-			ex.record.attempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: "answered"})
+			ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: "answered"})
 			return an, nil
 		}
-		ex.record.attempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: err.Error()})
-		se.picker.shun(addr, se.Clock.Now())
-		again := on.mayRetry(err, idempotent(ex.req.Method)) && ctx.Err() == nil && len(tried) < maxCalls
-		if !again || !se.budget.Spend() {
+		ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: err.Error()})
+		se.picker.markFailed(addr, se.Clock.Now())
+		retryAllowed := on.mayRetry(err, idempotent(ex.req.Method)) && ctx.Err() == nil && len(tried) < maxCallAttempts
+		if !retryAllowed || !se.budget.Spend() {
 			return endpoint.Answer{}, err
 		}
 	}
 }
 
-// hopHeaders belong to one connection and are not passed on, and neither is
-// the workspace's secret key.
+// hopHeaders are the headers that apply to one connection and are not
+// forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length"}
 
-// headerWorkspace tells a service which workspace calls.
+// headerWorkspace gives a service the name of the calling workspace.
 const headerWorkspace = "X-Workspace"
 
-func forwarded(ex *exchange) http.Header {
+// forwardedHeader returns the request header for the service. The workspace's
+// secret key is removed.
+func forwardedHeader(ex *exchange) http.Header {
 	hdr := ex.req.Header.Clone()
 	for _, name := range hopHeaders {
 		hdr.Del(name)
@@ -137,18 +144,19 @@
 	return hdr
 }
 
-func writeAnswer(w http.ResponseWriter, an endpoint.Answer) {
+func writeResponse(w http.ResponseWriter, an endpoint.Answer) {
 	for name, values := range an.Header {
 		if !slices.Contains(hopHeaders, name) && name != endpoint.HeaderRequestID {
 			w.Header()[name] = values
 		}
 	}
 	w.WriteHeader(an.Status)
-	// The caller may be gone; the outcome is recorded where it must be.
+	// A write fails only if the caller has disconnected. The outcome has
+	// already been recorded if required.
 	_, _ = w.Write(an.Body)
 }
 
-func writeRecorded(w http.ResponseWriter, oc *claim.Outcome) {
+func writeRecordedOutcome(w http.ResponseWriter, oc *claim.Outcome) {
 	w.Header().Set(hub.HeaderRecorded, "true")
 	if oc.ContentType != "" {
 		w.Header().Set("Content-Type", oc.ContentType)
@@ -157,14 +165,15 @@
 	_, _ = w.Write(oc.Body)
 }
 
-// addressPicker spreads calls over a service's addresses and tries those that
-// failed lately last. The zero value is ready for use.
+// addressPicker distributes calls over the addresses of a service. Addresses
+// that failed within failureBackoff are used only if there is no other. The
+// zero value is ready for use.
 type addressPicker struct {
-	mu      sync.Mutex
-	shunned map[string]time.Time
+	mu       sync.Mutex
+	failedAt map[string]time.Time
 }
 
-// pick returns an address that is not leaving and was not tried, or "".
+// pick returns a random address that is neither leaving nor in tried, or "".
 func (ap *addressPicker) pick(en intent.Endpoint, tried []string, now time.Time) string {
 	ap.mu.Lock()
 	defer ap.mu.Unlock()
@@ -174,7 +183,7 @@
 		if slices.Contains(en.Leaving, addr) || slices.Contains(tried, addr) {
 			continue
 		}
-		if now.Sub(ap.shunned[addr]) >= shunTime {
+		if now.Sub(ap.failedAt[addr]) >= failureBackoff {
 			return addr
 		}
 		last = addr
@@ -182,11 +191,11 @@
 	return last
 }
 
-func (ap *addressPicker) shun(addr string, now time.Time) {
+func (ap *addressPicker) markFailed(addr string, now time.Time) {
 	ap.mu.Lock()
 	defer ap.mu.Unlock()
-	if ap.shunned == nil {
-		ap.shunned = make(map[string]time.Time)
+	if ap.failedAt == nil {
+		ap.failedAt = make(map[string]time.Time)
 	}
-	ap.shunned[addr] = now
+	ap.failedAt[addr] = now
 }
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -8,43 +8,44 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// answerWriter gives a completion to the caller: as a stream or at once.
-type answerWriter interface {
-	// chunk passes a chunk on.
-	chunk(ch endpoint.Chunk) error
-	// done ends a whole answer.
-	done(co *completion) error
-	// fail ends an answer that is not whole. What it returns is what remains
-	// to be told to the caller.
+// completionWriter writes a completion to the caller, as a stream or as one
+// body.
+type completionWriter interface {
+	// writeChunk writes a chunk of the response.
+	writeChunk(ch endpoint.Chunk) error
+	// finish ends a complete response.
+	finish(co *completion) error
+	// fail ends an incomplete response. It returns the error that still has to
+	// be reported to the caller.
 	fail(ve *verdict.Error) error
 }
 
-func newWriter(co *completion) answerWriter {
+func newCompletionWriter(co *completion) completionWriter {
 	if !co.stream {
-		return &wholeWriter{w: co.ex.w}
+		return &bufferedWriter{w: co.ex.w}
 	}
 	return &streamWriter{co: co, rc: http.NewResponseController(co.ex.w)}
 }
 
-// wholeWriter answers once the completion is whole.
-type wholeWriter struct{ w http.ResponseWriter }
+// bufferedWriter writes the response once the completion is complete.
+type bufferedWriter struct{ w http.ResponseWriter }
 
-func (*wholeWriter) chunk(endpoint.Chunk) error { return nil }
+func (*bufferedWriter) writeChunk(endpoint.Chunk) error { return nil }
 
-func (ww *wholeWriter) done(co *completion) error {
-	writeJSON(ww.w, http.StatusOK, co.whole())
+func (ww *bufferedWriter) finish(co *completion) error {
+	writeJSON(ww.w, http.StatusOK, co.responseBody())
 	return nil
 }
 
-func (*wholeWriter) fail(ve *verdict.Error) error { return ve }
+func (*bufferedWriter) fail(ve *verdict.Error) error { return ve }
 
-// message is the text of a chat answer.
+// message is a message of a chat response.
 type message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// choice is one choice of an answer or of a chunk.
+// choice is one choice of a response or of a chunk.
 type choice struct {
 	Index   int      `json:"index"`
 	Message *message `json:"message,omitempty"`
@@ -53,8 +54,8 @@
 	Finish  *string  `json:"finish_reason"`
 }
 
-// body is an answer or a chunk in the OpenAI form.
-type body struct {
+// completionBody is a response or a chunk in the format of the OpenAI API.
+type completionBody struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
 	Created int64           `json:"created"`
@@ -63,42 +64,43 @@
 	Usage   json.RawMessage `json:"usage,omitempty"`
 }
 
-func (co *completion) head(object string) body {
+// newBody returns a body with the fields common to responses and chunks.
+func (co *completion) newBody(object string) completionBody {
 	name := co.model
 	if co.adapter != "" {
 		name += ":" + co.adapter
 	}
-	return body{ID: co.ex.id, Object: object, Created: co.ex.record.Begin.Unix(), Model: name}
+	return completionBody{ID: co.ex.id, Object: object, Created: co.ex.record.Begin.Unix(), Model: name}
 }
 
-// whole is the answer as one body.
-func (co *completion) whole() body {
-	text := co.sent.String()
+// responseBody returns the complete response as one body.
+func (co *completion) responseBody() completionBody {
+	text := co.sentText.String()
 	if !co.chat {
-		bo := co.head("text_completion")
-		bo.Choices = []choice{{Text: &text, Finish: &co.finish}}
+		bo := co.newBody("text_completion")
+		bo.Choices = []choice{{Text: &text, Finish: &co.finishReason}}
 		bo.Usage = co.usage
 		return bo
 	}
-	bo := co.head("chat.completion")
-	bo.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, Finish: &co.finish}}
+	bo := co.newBody("chat.completion")
+	bo.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, Finish: &co.finishReason}}
 	bo.Usage = co.usage
 	return bo
 }
 
-// streamWriter passes chunks on as server-sent events.
+// streamWriter writes chunks as server-sent events.
 type streamWriter struct {
 	co *completion
 	rc *http.ResponseController
 }
 
-func (sw *streamWriter) chunk(ch endpoint.Chunk) error {
-	bo := sw.co.head("text_completion")
+func (sw *streamWriter) writeChunk(ch endpoint.Chunk) error {
+	bo := sw.co.newBody("text_completion")
 	cc := choice{Text: &ch.Text}
 	if sw.co.chat {
-		bo = sw.co.head("chat.completion.chunk")
+		bo = sw.co.newBody("chat.completion.chunk")
 		cc = choice{Delta: &message{Content: ch.Text}}
-		if !sw.co.ex.begun {
+		if !sw.co.ex.headerWritten {
 			cc.Delta.Role = "assistant"
 		}
 	}
@@ -119,8 +121,8 @@
 
 func (sw *streamWriter) write(data string) error {
 	w := sw.co.ex.w
-	if !sw.co.ex.begun {
-		sw.co.ex.begun = true
+	if !sw.co.ex.headerWritten {
+		sw.co.ex.headerWritten = true
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Cache-Control", "no-store")
 		w.WriteHeader(http.StatusOK)
@@ -138,9 +140,9 @@
 	return &verdict.Error{Code: verdict.CodeCallerGone, Verdict: verdict.MayHaveRun, Message: "the caller is gone", Cause: err}
 }
 
-func (sw *streamWriter) done(co *completion) error {
+func (sw *streamWriter) finish(co *completion) error {
 	if len(co.usage) > 0 {
-		bo := co.head("chat.completion.chunk")
+		bo := co.newBody("chat.completion.chunk")
 		bo.Choices = []choice{}
 		bo.Usage = co.usage
 		if err := sw.event(bo); err != nil {
@@ -150,12 +152,12 @@
 	return sw.write("[DONE]")
 }
 
-// fail tells the caller within the stream. Its connection is broken off
-// afterwards: without the terminator no client takes the answer for whole,
-// and one that doesn't look for it sees the transfer cut.
+// fail sends the error as an event of the stream. The connection is aborted
+// afterwards: clients that expect the terminator do not find it, and other
+// clients see a truncated transfer.
 func (sw *streamWriter) fail(ve *verdict.Error) error {
-	if sw.co.ex.begun {
-		// A failure to write leaves the caller with the broken transfer.
+	if sw.co.ex.headerWritten {
+		// If this write fails, the caller still sees the aborted connection.
 		_ = sw.event(errorBody(sw.co.ex.id, ve))
 	}
 	return ve
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -52,7 +52,7 @@
 		Claims:          da.claims,
 		Journal:         da.journal,
 		DataCenter:      da.Settings.DataCenter,
-		Stall:           time.Duration(da.Settings.Timing.Stall),
+		StallTimeout:    time.Duration(da.Settings.Timing.Stall),
 		EntriesLifetime: time.Duration(da.Settings.Timing.Entries),
 		Services: endpoint.Services{
 			Transport:     otelhttp.NewTransport(endpoint.NewTransport(serviceConns)),
