--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -116,7 +116,7 @@
 	}
 	for _, pr := range set.check() {
 		table, key, ok := strings.Cut(pr.key, ".")
-		line := lines.Top(pr.key)
+		line := lines.TopLevel(pr.key)
 		if ok {
 			line = lines.Field(table, 0, key)
 		}
--- a/internal/operator/fields.go
+++ b/internal/operator/fields.go
@@ -10,13 +10,15 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-// decode reads the nth table of that name into ob, a pointer to a struct.
+// decode reads the nth table with the given name into ob, a pointer to a
+// struct.
 //
-// Each key is decoded by itself. The TOML library goes through a table in
-// random order and stops at the first value of a wrong type: the keys it has
-// not reached by then would be reported as unknown, other ones in each run,
-// and further wrong values would show only after the first is mended.
-func (rd *reader) decode(table string, nth int, pr toml.Primitive, ob any) []admin.Problem {
+// Each key is decoded separately. The TOML library visits the keys of a table
+// in random order and stops at the first value of the wrong type. Decoding a
+// whole table would therefore report the keys not yet visited as unknown,
+// different ones on each run, and would hide further type errors until the
+// first is fixed.
+func (rd *fileReader) decode(table string, nth int, pr toml.Primitive, ob any) []admin.Problem {
 	var values map[string]toml.Primitive
 	if err := rd.md.PrimitiveDecode(pr, &values); err != nil {
 		return []admin.Problem{rd.tableProblem(table, nth, err)}
@@ -37,9 +39,9 @@
 	return problems
 }
 
-// tableProblem places an error of the TOML library in a table if the library
-// names no place itself.
-func (rd *reader) tableProblem(table string, nth int, err error) admin.Problem {
+// tableProblem converts an error of the TOML library to a problem. If the error
+// has no position, the problem is placed at the header of the table.
+func (rd *fileReader) tableProblem(table string, nth int, err error) admin.Problem {
 	problem := TOMLProblem(rd.de.file, err)
 	if problem.Line == 0 {
 		problem.Line = rd.de.lines.Table(table, nth)
@@ -50,7 +52,7 @@
 	return problem
 }
 
-// keyedFields returns the fields of a struct by their keys in TOML.
+// keyedFields returns the fields of a struct by the keys in their toml tags.
 func keyedFields(st reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, st.NumField())
 	for i := range st.NumField() {
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -1,6 +1,6 @@
-// Package operator serves the operators: it reads their declarative files and
-// answers the administration API. A file is accepted or refused as a whole,
-// and a refusal names everything that is wrong with it.
+// Package operator implements the administration API for operators and reads
+// their declarative TOML files. A file is accepted or refused as a whole, and a
+// refusal lists every problem found in it.
 package operator
 
 import (
@@ -14,8 +14,8 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-// document is the outline of a file. Its tables are decoded one by one, so
-// that each can report what is wrong with it.
+// document is the top level of a file. Its tables are decoded one at a time, so
+// that the problems of each can be reported.
 type document struct {
 	Delete    []string         `toml:"delete"`
 	Policy    *toml.Primitive  `toml:"policy"`
@@ -25,25 +25,28 @@
 	Endpoint  []toml.Primitive `toml:"endpoint"`
 }
 
-// Declaration is what a file declares, with the places to blame.
+// Declaration is the content of a file, with the positions needed to report
+// problems.
 type Declaration struct {
 	Change intent.Change
 	file   string
 	lines  Locator
-	// places finds the table of an object.
-	places map[string]place
+	// locations maps the ID of an object to its table.
+	locations map[string]location
 }
 
-type place struct {
+// location identifies a table by its name and its index among the tables with
+// that name.
+type location struct {
 	table string
 	nth   int
 }
 
-// Parse reads a file. Problems that can be seen without knowing the rest of
-// the configuration are returned; the declaration is for use only if there
-// are none.
+// Parse reads a file. It returns the problems that can be found without the
+// rest of the configuration. The declaration may be used only if there are
+// none.
 func Parse(file, text string) (*Declaration, []admin.Problem) {
-	de := &Declaration{file: file, lines: NewLocator(text), places: make(map[string]place)}
+	de := &Declaration{file: file, lines: NewLocator(text), locations: make(map[string]location)}
 	if len(text) > chain.MaxEntryBytes {
 		return de, []admin.Problem{{File: file, Reason: fmt.Sprintf("the file has %d bytes; at most %d can be applied at once", len(text), chain.MaxEntryBytes)}}
 	}
@@ -52,30 +55,30 @@
 	if err != nil {
 		return de, []admin.Problem{TOMLProblem(file, err)}
 	}
-	rd := &reader{de: de, md: md}
-	rd.read(doc)
+	rd := &fileReader{de: de, md: md}
+	rd.readDocument(doc)
 	for _, key := range md.Undecoded() {
-		rd.problem(de.lines.Key(key), key.String(), "unknown key")
+		rd.addProblem(de.lines.Key(key), key.String(), "unknown key")
 	}
 	if len(rd.problems) == 0 && len(de.Change.IDs()) == 0 {
-		rd.problem(0, "", "the file declares nothing")
+		rd.addProblem(0, "", "the file declares nothing")
 	}
 	slices.SortStableFunc(rd.problems, func(a, b admin.Problem) int { return a.Line - b.Line })
 	return de, rd.problems
 }
 
-// reader decodes the tables of one file.
-type reader struct {
+// fileReader decodes the tables of one file.
+type fileReader struct {
 	de       *Declaration
 	md       toml.MetaData
 	problems []admin.Problem
 }
 
-func (rd *reader) problem(line int, key, reason string) {
+func (rd *fileReader) addProblem(line int, key, reason string) {
 	rd.problems = append(rd.problems, admin.Problem{File: rd.de.file, Line: line, Key: key, Reason: reason})
 }
 
-func (rd *reader) read(doc document) {
+func (rd *fileReader) readDocument(doc document) {
 	rd.de.Change.Deletes = doc.Delete
 	if doc.Policy != nil {
 		readTable[intent.Policy](rd, "policy", 0, *doc.Policy)
@@ -93,17 +96,18 @@
 		readTable[intent.Endpoint](rd, "endpoint", i, pr)
 	}
 	for i, id := range doc.Delete {
-		line := rd.de.lines.Top("delete")
+		line := rd.de.lines.TopLevel("delete")
 		if slices.Contains(doc.Delete[:i], id) {
-			rd.problem(line, "delete", id+" stands twice")
+			rd.addProblem(line, "delete", id+" stands twice")
 		}
-		if _, ok := rd.de.places[id]; ok {
-			rd.problem(line, "delete", id+" is declared in the same file")
+		if _, ok := rd.de.locations[id]; ok {
+			rd.addProblem(line, "delete", id+" is declared in the same file")
 		}
 	}
 }
 
-func readTable[T intent.Object](rd *reader, table string, nth int, pr toml.Primitive) {
+// readTable decodes a table as an object of type T and adds it to the change.
+func readTable[T intent.Object](rd *fileReader, table string, nth int, pr toml.Primitive) {
 	var ob T
 	if problems := rd.decode(table, nth, pr, &ob); len(problems) > 0 {
 		rd.problems = append(rd.problems, problems...)
@@ -111,13 +115,15 @@
 	}
 	done := withDefaults(ob)
 	id := done.ID()
-	if _, ok := rd.de.places[id]; ok {
-		rd.problem(rd.de.lines.Table(table, nth), id, "stands twice in the file")
+	if _, ok := rd.de.locations[id]; ok {
+		rd.addProblem(rd.de.lines.Table(table, nth), id, "stands twice in the file")
 	}
-	rd.de.places[id] = place{table, nth}
+	rd.de.locations[id] = location{table, nth}
 	rd.de.Change.Puts = append(rd.de.Change.Puts, done)
 }
 
+// withDefaults sets the role of a group without one to mixed. Other objects are
+// returned unchanged.
 func withDefaults(ob intent.Object) intent.Object {
 	if gr, ok := ob.(intent.Group); ok && gr.Role == "" {
 		gr.Role = intent.RoleMixed
@@ -126,15 +132,16 @@
 	return ob
 }
 
-// Blame turns faults of the configuration into problems of the file.
-func (de *Declaration) Blame(faults []intent.Fault) []admin.Problem {
+// ProblemsOf converts faults of the configuration to problems with positions in
+// the file, sorted by line.
+func (de *Declaration) ProblemsOf(faults []intent.Fault) []admin.Problem {
 	var problems []admin.Problem
 	for _, fa := range faults {
 		pr := admin.Problem{File: de.file, Key: fa.ID + " " + fa.Key, Reason: fa.Reason}
-		if pl, ok := de.places[fa.ID]; ok {
+		if pl, ok := de.locations[fa.ID]; ok {
 			pr.Line = de.lines.Field(pl.table, pl.nth, fa.Key)
 		} else if fa.Key == "delete" {
-			pr.Line = de.lines.Top("delete")
+			pr.Line = de.lines.TopLevel("delete")
 		}
 		problems = append(problems, pr)
 	}
@@ -142,11 +149,12 @@
 	return problems
 }
 
-// Check reports every problem of a file taken alone on top of cfg.
+// Check reads a file and validates it against the configuration cfg. It returns
+// all problems found, or none if the file can be applied to cfg.
 func Check(file, text string, cfg *intent.Config) (*Declaration, []admin.Problem) {
 	de, problems := Parse(file, text)
 	if len(problems) > 0 {
 		return de, problems
 	}
-	return de, de.Blame(cfg.CheckChange(de.Change))
+	return de, de.ProblemsOf(cfg.CheckChange(de.Change))
 }
--- a/internal/operator/file_test.go
+++ b/internal/operator/file_test.go
@@ -10,7 +10,7 @@
 	"corianderhub.dev/corianderhub/internal/core/intent"
 )
 
-const good = `
+const validFile = `
 [[model]]
 name = "linden"
 version = "1"
@@ -25,20 +25,22 @@
 replicas = 2
 `
 
-const digest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0bc822cd15d6c15b0f00a0"
+const keyDigest = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0bc822cd15d6c15b0f00a0"
 
+// Each problem of a file is reported with its line, key and reason. The texts
+// are part of the administration API and of the output of the check command.
 func TestCheck(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
 		want []string
 	}{
-		{"good", good, nil},
+		{"good", validFile, nil},
 		{"empty", "", []string{"f.toml: the file declares nothing"}},
 		{"comments only", "# nothing\n", []string{"f.toml: the file declares nothing"}},
 		{"half written", "[[model]]\nname = \"lin", []string{"f.toml:2: model.name: unexpected EOF; expected '\"'"}},
 		{"unknown table", "[[modle]]\nname = \"a\"\n", []string{"f.toml:1: modle: unknown key", "f.toml:2: modle.name: unknown key"}},
-		{"unknown key", good + "spears = 1\n", []string{"f.toml:14: group.spears: unknown key"}},
+		{"unknown key", validFile + "spears = 1\n", []string{"f.toml:14: group.spears: unknown key"}},
 		{"wrong type", "[[model]]\nname = \"linden\"\nvms = \"two\"\n", []string{"f.toml:3: model.vms: incompatible types: TOML value has type string; destination has type integer"}},
 		{"two wrong types and an unknown key", "[[model]]\nname = 7\nvms = \"two\"\nspears = 1\nload-time = \"1s\"\n", []string{
 			"f.toml:2: model.name: incompatible types: TOML value has type int64; destination has type string",
@@ -46,14 +48,14 @@
 			"f.toml:4: model.spears: unknown key"}},
 		{"bad duration", "[[endpoint]]\nname = \"o\"\ntimeout = \"soon\"\n", []string{`f.toml:3: endpoint.timeout: time: invalid duration "soon"`}},
 		{"key twice", "[[model]]\nname = \"a\"\nname = \"b\"\n", []string{"f.toml:3: model.name: Key 'model.name' has already been defined."}},
-		{"object twice", good + "[[group]]\nname = \"g\"\nmodel = \"linden\"\ndata-center = \"gent\"\n", []string{"f.toml:14: group/g: stands twice in the file"}},
-		{"deleted and declared", "delete = [\"model/linden\"]\n" + good, []string{"f.toml:1: delete: model/linden is declared in the same file"}},
+		{"object twice", validFile + "[[group]]\nname = \"g\"\nmodel = \"linden\"\ndata-center = \"gent\"\n", []string{"f.toml:14: group/g: stands twice in the file"}},
+		{"deleted and declared", "delete = [\"model/linden\"]\n" + validFile, []string{"f.toml:1: delete: model/linden is declared in the same file"}},
 		{"deletes what is not there", "delete = [\"model/oak\"]\n", []string{"f.toml:1: model/oak delete: no such object"}},
 		{"model not declared", "[[group]]\nname = \"g\"\nmodel = \"oak\"\ndata-center = \"gent\"\n", []string{`f.toml:3: group/g model: no model "oak" is declared`}},
-		{"several at once", strings.NewReplacer("vms = 2", "vms = 17", "replicas = 2", "replicas = -1").Replace(good),
+		{"several at once", strings.NewReplacer("vms = 2", "vms = 17", "replicas = 2", "replicas = -1").Replace(validFile),
 			[]string{"f.toml:5: model/linden vms: must be 1 to 16", "f.toml:13: group/g replicas: must be 0 to 4096"}},
-		{"share of nothing", "[[workspace]]\nname = \"w\"\nshare = 0\nkey-sha256 = \"" + digest + "\"\n", []string{"f.toml:3: workspace/w share: must be above zero"}},
-		{"one key for two", "[[workspace]]\nname = \"w\"\nshare = 1\nkey-sha256 = \"" + digest + "\"\n[[workspace]]\nname = \"v\"\nshare = 1\nkey-sha256 = \"" + digest + "\"\n",
+		{"share of nothing", "[[workspace]]\nname = \"w\"\nshare = 0\nkey-sha256 = \"" + keyDigest + "\"\n", []string{"f.toml:3: workspace/w share: must be above zero"}},
+		{"one key for two", "[[workspace]]\nname = \"w\"\nshare = 1\nkey-sha256 = \"" + keyDigest + "\"\n[[workspace]]\nname = \"v\"\nshare = 1\nkey-sha256 = \"" + keyDigest + "\"\n",
 			[]string{`f.toml:4: workspace/w key-sha256: workspace "v" has the same key`, `f.toml:8: workspace/v key-sha256: workspace "w" has the same key`}},
 		{"routes overlap", "[[endpoint]]\nname = \"a\"\nroute = \"/o/\"\naddresses = [\"127.0.0.1:1\"]\n[[endpoint]]\nname = \"b\"\nroute = \"/o/p/\"\naddresses = [\"127.0.0.1:1\"]\n",
 			[]string{`f.toml:3: endpoint/a route: overlaps with endpoint "b"`, `f.toml:7: endpoint/b route: overlaps with endpoint "a"`}},
@@ -75,24 +77,25 @@
 	}
 }
 
-// A file that no entry of the configuration could hold is refused before it
-// gets anywhere near the platform.
-func TestHugeFile(t *testing.T) {
+// Guards against a file that is too large for one configuration entry: it must
+// be refused before anything is written to the platform.
+func TestOversizedFile(t *testing.T) {
 	_, problems := Check("f.toml", "# "+strings.Repeat("x", chain.MaxEntryBytes), intent.New())
 	if len(problems) != 1 || !strings.Contains(problems[0].Reason, "at most") {
-		t.Errorf("problems = %v, want one that names the limit", problems)
+		t.Errorf("problems = %v, want one whose reason contains \"at most\"", problems)
 	}
 }
 
-// Whatever bytes a file holds, reading it ends with a declaration or problems.
+// Parsing must not panic on any input, and must report a problem if the file
+// declares nothing.
 func FuzzCheck(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add("delete = [\"a\", \"a\"]\n[[policy]]\n")
 	f.Add("[[model]]\nname = [1]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		de, problems := Check("f.toml", text, intent.New())
 		if len(problems) == 0 && len(de.Change.IDs()) == 0 {
-			t.Error("accepted a file that declares nothing")
+			t.Error("no problems for a file that declares nothing")
 		}
 	})
 }
--- a/internal/operator/locator.go
+++ b/internal/operator/locator.go
@@ -11,12 +11,14 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-// typeError is how the TOML library words a value of the wrong type.
-var typeError = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
+// typeErrorPattern matches the TOML library's error for a value of the wrong
+// type.
+var typeErrorPattern = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (.*)$`)
 
-// TOMLProblem keeps the position that the TOML library knows.
+// TOMLProblem converts an error of the TOML library to a problem, with the line
+// and key if the error has them.
 func TOMLProblem(file string, err error) admin.Problem {
-	if parts := typeError.FindStringSubmatch(err.Error()); parts != nil {
+	if parts := typeErrorPattern.FindStringSubmatch(err.Error()); parts != nil {
 		line, _ := strconv.Atoi(parts[1])
 		return admin.Problem{File: file, Line: line, Key: parts[2], Reason: parts[3]}
 	}
@@ -27,16 +29,17 @@
 	return admin.Problem{File: file, Reason: err.Error()}
 }
 
-// Locator finds lines in a TOML text, which the TOML library forgets.
+// Locator finds the lines of tables and keys in a TOML text. The TOML library
+// does not keep them for decoded values. Lines count from 1; 0 means not found.
 type Locator []string
 
 // NewLocator returns a Locator for the text of a file.
 func NewLocator(text string) Locator { return strings.Split(text, "\n") }
 
-// Table returns the line of the nth [[name]] or [name] header.
+// Table returns the line of the nth [[name]] or [name] header, counted from 0.
 func (lo Locator) Table(name string, nth int) int {
 	for i, line := range lo {
-		if header(line) != name {
+		if tableName(line) != name {
 			continue
 		}
 		if nth == 0 {
@@ -47,50 +50,51 @@
 	return 0
 }
 
-// Field returns the line of a key in a table, or of the table's header if the
-// key is not there.
+// Field returns the line of a key in the nth table with the given name, or of
+// the table's header if the table does not contain the key.
 func (lo Locator) Field(table string, nth int, key string) int {
 	first := lo.Table(table, nth)
-	for i := first; first > 0 && i < len(lo) && header(lo[i]) == ""; i++ {
-		if keyOf(lo[i]) == key {
+	for i := first; first > 0 && i < len(lo) && tableName(lo[i]) == ""; i++ {
+		if keyName(lo[i]) == key {
 			return i + 1
 		}
 	}
 	return first
 }
 
-// Top returns the line of a key before the first table.
-func (lo Locator) Top(key string) int {
+// TopLevel returns the line of a key before the first table.
+func (lo Locator) TopLevel(key string) int {
 	for i, line := range lo {
-		if header(line) != "" {
+		if tableName(line) != "" {
 			return 0
 		}
-		if keyOf(line) == key {
+		if keyName(line) == key {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// Key returns the line of the first key of that path.
+// Key returns the line of the first key with the given path.
 func (lo Locator) Key(key toml.Key) int {
 	if len(key) == 1 {
-		return max(lo.Top(key[0]), lo.Table(key[0], 0))
+		return max(lo.TopLevel(key[0]), lo.Table(key[0], 0))
 	}
 	inside := false
 	for i, line := range lo {
-		if name := header(line); name != "" {
+		if name := tableName(line); name != "" {
 			inside = name == key[0]
 			continue
 		}
-		if inside && keyOf(line) == key[1] {
+		if inside && keyName(line) == key[1] {
 			return i + 1
 		}
 	}
 	return lo.Table(key[0], 0)
 }
 
-func header(line string) string {
+// tableName returns the name in a table header, or "" if the line is not one.
+func tableName(line string) string {
 	line = strings.TrimSpace(line)
 	if !strings.HasPrefix(line, "[") || strings.Contains(line, "=") {
 		return ""
@@ -98,7 +102,9 @@
 	return strings.Trim(strings.SplitN(line, "#", 2)[0], "[] \t")
 }
 
-func keyOf(line string) string {
+// keyName returns the key of a "key = value" line, or "" if the line is not
+// one.
+func keyName(line string) string {
 	name, _, ok := strings.Cut(line, "=")
 	if !ok {
 		return ""
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,36 +28,40 @@
 )
 
 const (
+	// maxRequestBytes leaves room for the JSON encoding of a file of
+	// chain.MaxEntryBytes.
 	maxRequestBytes = 2 * chain.MaxEntryBytes
 	applyTimeout    = 20 * time.Second
 	pruneTimeout    = time.Minute
 )
 
-// State is the daemon's state as the administration API sees it.
+// State gives the administration API access to the daemon's state.
 type State interface {
 	caller.Control
-	// Domains returns the known assignments.
+	// Domains returns the known assignments of VMs to groups, by domain.
 	Domains() []fleet.Domain
-	// Revisions asks every known daemon for its configuration revision; a
-	// daemon that does not answer is missing.
+	// Revisions requests the configuration revision of every known daemon and
+	// returns them by name. Daemons that do not respond are missing.
 	Revisions(ctx context.Context) map[string]uint64
-	// Drain begins the daemon's graceful stop.
+	// Drain starts the graceful stop of the daemon.
 	Drain()
 }
 
-// Server serves the administration API. Set the fields before Handler.
+// Server implements the administration API. Set the fields before calling
+// Handler.
 type Server struct {
 	State State
 	Chain chainstore.Store
 	Clock clock.Clock
 	Log   *slog.Logger
-	// Journal explains requests.
+	// Journal holds the records for the explain API.
 	Journal *caller.Journal
-	// TokenSHA256 is the hex digest of the operators' token.
+	// TokenSHA256 is the SHA-256 digest of the operators' token in hex.
 	TokenSHA256 string
 }
 
-// Handler returns the handler for operators.
+// Handler returns the HTTP handler for operators. Every request needs the
+// operators' token.
 func (se *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /admin/check", se.check)
@@ -75,53 +79,54 @@
 		sum := sha256.Sum256([]byte(token))
 		digest := hex.EncodeToString(sum[:])
 		if subtle.ConstantTimeCompare([]byte(digest), []byte(strings.ToLower(se.TokenSHA256))) != 1 {
-			refuse(w, &verdict.Error{Code: verdict.CodeUnauthorized, Verdict: verdict.NotRun, Message: "unknown operator token"}, nil)
+			writeRefusal(w, &verdict.Error{Code: verdict.CodeUnauthorized, Verdict: verdict.NotRun, Message: "unknown operator token"}, nil)
 			return
 		}
 		next.ServeHTTP(w, req)
 	})
 }
 
-func refuse(w http.ResponseWriter, ve *verdict.Error, problems []admin.Problem) {
+func writeRefusal(w http.ResponseWriter, ve *verdict.Error, problems []admin.Problem) {
 	writeJSON(w, ve.Status(), admin.Refusal{Code: ve.Code, Verdict: ve.Verdict, Message: ve.Message, Problems: problems})
 }
 
-func invalid() *verdict.Error {
+func errInvalidFile() *verdict.Error {
 	return &verdict.Error{Code: verdict.CodeInvalid, Verdict: verdict.NotRun, Message: "the file was refused as a whole"}
 }
 
 func writeJSON(w http.ResponseWriter, status int, val any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The operator may be gone: there is nobody left to tell.
+	// A write fails only if the operator has disconnected; there is no one to
+	// report it to.
 	_ = json.NewEncoder(w).Encode(val)
 }
 
-// read decodes the request and checks the file on top of the daemon's
-// configuration. It answers by itself when there is nothing to go on with.
-func (se *Server) read(w http.ResponseWriter, req *http.Request) (admin.Apply, *Declaration, bool) {
+// readDeclaration decodes the request and checks its file against the daemon's
+// configuration. If that fails, it writes the refusal and returns false.
+func (se *Server) readDeclaration(w http.ResponseWriter, req *http.Request) (admin.Apply, *Declaration, bool) {
 	var ar admin.Apply
 	err := json.NewDecoder(io.LimitReader(req.Body, maxRequestBytes)).Decode(&ar)
 	if err != nil {
-		refuse(w, &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: err.Error()}, nil)
+		writeRefusal(w, &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: err.Error()}, nil)
 		return ar, nil, false
 	}
 	de, problems := Check(ar.File, ar.Text, se.State.View().Config)
 	if len(problems) > 0 {
-		refuse(w, invalid(), problems)
+		writeRefusal(w, errInvalidFile(), problems)
 		return ar, nil, false
 	}
 	return ar, de, true
 }
 
 func (se *Server) check(w http.ResponseWriter, req *http.Request) {
-	if _, _, ok := se.read(w, req); ok {
+	if _, _, ok := se.readDeclaration(w, req); ok {
 		writeJSON(w, http.StatusOK, admin.Applied{Revision: se.State.View().Config.Revision})
 	}
 }
 
 func (se *Server) plan(w http.ResponseWriter, req *http.Request) {
-	_, de, ok := se.read(w, req)
+	_, de, ok := se.readDeclaration(w, req)
 	if !ok {
 		return
 	}
@@ -130,7 +135,7 @@
 }
 
 func (se *Server) apply(w http.ResponseWriter, req *http.Request) {
-	ar, de, ok := se.read(w, req)
+	ar, de, ok := se.readDeclaration(w, req)
 	if !ok {
 		return
 	}
@@ -143,17 +148,17 @@
 	done, err := se.Chain.Apply(ctx, cfg, chainstore.Apply{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
 	var fe *chainstore.FaultsError
 	if errors.As(err, &fe) {
-		problems := de.Blame(fe.Faults)
-		refuse(w, invalid(), problems)
+		problems := de.ProblemsOf(fe.Faults)
+		writeRefusal(w, errInvalidFile(), problems)
 		return
 	}
 	if err != nil {
 		ve := verdict.As(err)
 		ve.Message += " (operation " + ar.Operation + ")"
-		refuse(w, ve, nil)
+		writeRefusal(w, ve, nil)
 		return
 	}
-	se.Log.Info("Operator: a change is accepted.", "revision", done.Revision, "operation", ar.Operation, "operator", ar.Operator)
+	se.Log.Info("Operator: configuration change accepted.", "revision", done.Revision, "operation", ar.Operation, "operator", ar.Operator)
 	se.State.Post(control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
 	if done.Snapshotted {
 		go se.prune(done.Update.Head)
@@ -161,14 +166,14 @@
 	writeJSON(w, http.StatusOK, admin.Applied{Revision: done.Revision, Operation: ar.Operation, Changes: diffs(cfg.Plan(de.Change))})
 }
 
-// prune removes what no daemon needs any more. Whatever it leaves behind is
-// met again after the next snapshot.
+// prune removes the configuration entries that no daemon needs any longer.
+// Entries that it fails to remove are tried again after the next snapshot.
 func (se *Server) prune(hd chain.Head) {
 	ctx, cancel := context.WithTimeout(context.Background(), pruneTimeout)
 	defer cancel()
 	num, err := se.Chain.Prune(ctx, hd)
 	if err != nil {
-		se.Log.Warn("Operator: old configuration entries could not all be pruned.", "pruned", num, "error", err)
+		se.Log.Warn("Operator: not all old configuration entries were pruned.", "pruned", num, "error", err)
 	}
 }
 
@@ -212,7 +217,7 @@
 func (se *Server) explain(w http.ResponseWriter, req *http.Request) {
 	data, ok := se.Journal.Find(req.PathValue("id"))
 	if !ok {
-		refuse(w, &verdict.Error{Code: verdict.CodeNoRoute, Verdict: verdict.NotRun, Message: "this daemon does not remember the request"}, nil)
+		writeRefusal(w, &verdict.Error{Code: verdict.CodeNoRoute, Verdict: verdict.NotRun, Message: "this daemon does not remember the request"}, nil)
 		return
 	}
 	writeJSON(w, http.StatusOK, data)
