--- a/internal/daemon/act.go
+++ b/internal/daemon/act.go
@@ -15,18 +15,20 @@
 )
 
 const (
-	// watchTime is how long one watch of the configuration's head waits.
-	watchTime = 20 * time.Second
-	// watchRetry is the pause after a watch that failed.
-	watchRetry = 500 * time.Millisecond
-	// platformTimeout bounds one action at the platform.
+	// watchTimeout is the longest time that one watch of the configuration's
+	// head waits for a change.
+	watchTimeout = 20 * time.Second
+	// watchRetryDelay is the delay after a failed watch.
+	watchRetryDelay = 500 * time.Millisecond
+	// platformTimeout bounds one platform operation.
 	platformTimeout = 3 * time.Second
 	// transferTimeout bounds a fetch of documents or configuration.
 	transferTimeout = 5 * time.Second
 )
 
-// act carries out an action on a goroutine of its own and posts its outcome.
-func (da *Daemon) act(ac control.Action) {
+// startAction performs an action on its own goroutine and posts the resulting
+// event, if any.
+func (da *Daemon) startAction(ac control.Action) {
 	go func() {
 		if ev := da.perform(da.ctx, ac); ev != nil {
 			da.loop.Post(ev)
@@ -34,6 +36,8 @@
 	}()
 }
 
+// perform carries out an action and returns its result as an event, or nil if
+// the control state needs none.
 func (da *Daemon) perform(ctx context.Context, ac control.Action) control.Event {
 	switch ac := ac.(type) {
 	case control.Probe:
@@ -47,15 +51,15 @@
 	case control.ReadConfig:
 		return da.readConfig(ctx, ac)
 	case control.BroadcastRevocation:
-		da.announce(ctx, ac)
+		da.broadcastRevocation(ctx, ac)
 	case control.PullObservations:
-		return da.pullSightings(ctx, ac)
+		return da.pullObservations(ctx, ac)
 	case control.AcquireLease:
 		return da.acquireLease(ctx)
 	case control.RenewLease:
 		return da.renewLease(ctx, ac)
 	case control.ReleaseLease:
-		return da.dropLease(ac)
+		return da.releaseLease(ac)
 	case control.ReadDomains:
 		return da.readDomains(ctx, ac)
 	case control.ReadVMs:
@@ -63,8 +67,8 @@
 	case control.WriteDomain:
 		return da.writeDomain(ctx, ac)
 	case control.SendOrder:
-		if err := da.members.Send(ctx, ac.Order); err != nil {
-			da.Log.Info("Steward: an order was not taken.", "vm", ac.Order.Target().Name, "error", err)
+		if err := da.memberClient.Send(ctx, ac.Order); err != nil {
+			da.Log.Info("Steward: order not accepted.", "vm", ac.Order.Target().Name, "error", err)
 		}
 		return control.OrderDone{VM: ac.Order.Target().Name}
 	}
@@ -73,7 +77,7 @@
 
 func (da *Daemon) probe(ctx context.Context, ac control.Probe) control.Event {
 	ev := control.Probed{VM: ac.VM.Name, SentAt: da.Clock.Now()}
-	re, refused, err := da.members.Probe(ctx, ac.VM.Address)
+	re, refused, err := da.memberClient.Probe(ctx, ac.VM.Address)
 	if err == nil && re.VM == ac.VM.Name {
 		ev.Report = re
 	}
@@ -94,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	var an peer.DocsAnswer
-	// A failed fetch brings no documents; the next pull asks again.
+	// A failed fetch returns no documents; the next pull requests them again.
 	_ = da.node.Call(ctx, ac.Peer, peer.DocsRequest{Have: ac.Have}, &an)
 	return control.DocsArrived{Peer: ac.Peer, Docs: an.Docs}
 }
@@ -111,7 +115,7 @@
 	if len(an.Pieces) > 0 {
 		cfg, err := chain.Join(an.Pieces)
 		if err != nil {
-			da.Log.Warn("Config: a peer sent a broken snapshot.", "peer", ac.Peer, "error", err)
+			da.Log.Warn("Config: invalid snapshot from a peer.", "peer", ac.Peer, "error", err)
 			return ev
 		}
 		ev.Snapshot = cfg
@@ -120,41 +124,43 @@
 }
 
 // readConfig reads the configuration from the platform. The steward's reads
-// wait for a change, so that one watch serves a whole data center.
+// wait for a change, so that one watch serves a whole data centre.
 func (da *Daemon) readConfig(ctx context.Context, ac control.ReadConfig) control.Event {
 	ev := control.ConfigArrived{Source: control.SourcePlatformConfig}
 	hd, rev, err := da.chain.Head(ctx)
 	if err == nil && ac.Wait && hd.Revision <= ac.After {
-		err = da.platform.Watch(ctx, "config/head", rev, watchTime)
+		err = da.platform.Watch(ctx, "config/head", rev, watchTimeout)
 		if err == nil {
 			hd, _, err = da.chain.Head(ctx)
 		}
 	}
 	if err != nil {
-		// The event ends the action, and the next one may follow at once.
-		_ = da.Clock.Sleep(ctx, watchRetry)
+		// The event completes the action, and the next read may start
+		// immediately. The delay keeps failed reads from looping.
+		_ = da.Clock.Sleep(ctx, watchRetryDelay)
 		return ev
 	}
 	up, err := da.chain.After(ctx, hd, ac.After)
 	if err != nil {
-		da.Log.Warn("Config: the chain could not be read.", "revision", hd.Revision, "error", err)
-		_ = da.Clock.Sleep(ctx, watchRetry)
+		da.Log.Warn("Config: reading the configuration chain failed.", "revision", hd.Revision, "error", err)
+		_ = da.Clock.Sleep(ctx, watchRetryDelay)
 		return ev
 	}
 	ev.Known, ev.Snapshot, ev.Entries = true, up.Snapshot, up.Entries
 	return ev
 }
 
-func (da *Daemon) announce(ctx context.Context, ac control.BroadcastRevocation) {
+// broadcastRevocation sends a revoked permit to the peers.
+func (da *Daemon) broadcastRevocation(ctx context.Context, ac control.BroadcastRevocation) {
 	for _, addr := range ac.Peers {
 		go func() {
-			// A daemon that can't be told loses the permit by time.
+			// On a daemon that is not reached, the permit expires by time.
 			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.Done{})
 		}()
 	}
 }
 
-func (da *Daemon) pullSightings(ctx context.Context, ac control.PullObservations) control.Event {
+func (da *Daemon) pullObservations(ctx context.Context, ac control.PullObservations) control.Event {
 	ev := control.ObservationsArrived{Daemon: ac.Daemon, SentAt: da.Clock.Now()}
 	var an control.ObservationsAnswer
 	if err := da.node.Call(ctx, ac.Peer, peer.SightingsRequest{Since: ac.Since}, &an); err == nil {
@@ -163,10 +169,11 @@
 	return ev
 }
 
+// leaseKey is the store key of the steward's lease in this data centre.
 func (da *Daemon) leaseKey() string { return "stewards/" + da.Settings.DataCenter }
 
-// holder is the value of the lease's key.
-type holder struct {
+// leaseHolder is the value stored under the key of the lease.
+type leaseHolder struct {
 	Name string `json:"name"`
 }
 
@@ -178,17 +185,17 @@
 	if err != nil {
 		return control.LeaseFailed{SentAt: sentAt}
 	}
-	raw, err := json.Marshal(holder{da.Settings.Name})
+	raw, err := json.Marshal(leaseHolder{da.Settings.Name})
 	if err != nil {
 		return control.LeaseFailed{SentAt: sentAt}
 	}
 	epoch, err := da.platform.Put(ctx, da.leaseKey(), raw, 0, lease)
 	if err == nil {
-		da.Log.Info("Steward: this daemon holds the lease.", "epoch", epoch)
+		da.Log.Info("Steward: lease acquired.", "epoch", epoch)
 		return control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: sentAt}
 	}
-	// Whether another holds the key or the answer was lost: the fresh lease is
-	// not used, and what it may hold goes with it.
+	// Either another daemon holds the key or the response was lost. Revoking
+	// the new lease also deletes a key that was stored with it.
 	_ = da.platform.Revoke(ctx, lease)
 	if errors.Is(err, platform.ErrConflict) {
 		return control.LeaseLost{}
@@ -205,16 +212,16 @@
 	case err == nil:
 		return control.LeaseRenewed{SentAt: sentAt}
 	case errors.Is(err, platform.ErrConflict):
-		da.Log.Warn("Steward: the lease is lost.")
+		da.Log.Warn("Steward: lease lost.")
 		return control.LeaseLost{}
 	}
 	return control.LeaseFailed{SentAt: sentAt}
 }
 
-func (da *Daemon) dropLease(ac control.ReleaseLease) control.Event {
+func (da *Daemon) releaseLease(ac control.ReleaseLease) control.Event {
 	ctx, cancel := context.WithTimeout(context.Background(), platformTimeout)
 	defer cancel()
-	// A lease that can't be revoked lapses.
+	// A lease that cannot be revoked expires.
 	_ = da.platform.Revoke(ctx, ac.Lease)
 	return nil
 }
@@ -231,7 +238,7 @@
 	for _, en := range entries {
 		var dom fleet.Domain
 		if err := json.Unmarshal(en.Value, &dom); err != nil || dom.Check() != nil {
-			da.Log.Error("Steward: an assignment is damaged and was passed over.", "key", en.Key, "error", err)
+			da.Log.Error("Steward: skipping an invalid assignment.", "key", en.Key, "error", err)
 			continue
 		}
 		ev.Domains = append(ev.Domains, control.StoredDomain{Domain: dom, Revision: en.Revision})
@@ -262,13 +269,14 @@
 	}
 	rev, err := da.platform.Put(ctx, control.DomainKey(da.Settings.DataCenter, ac.Domain.Name), raw, ac.IfRevision, "")
 	if err != nil {
-		da.Log.Warn("Steward: an assignment was not written.", "domain", ac.Domain.Name, "error", strings.TrimSpace(err.Error()))
+		da.Log.Warn("Steward: writing an assignment failed.", "domain", ac.Domain.Name, "error", strings.TrimSpace(err.Error()))
 		return control.DomainWriteUnconfirmed{Name: ac.Domain.Name}
 	}
 	return control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}}
 }
 
-// Handle implements peer.Handler.
+// Handle implements peer.Handler. It answers requests of other daemons, and
+// returns errStopping if the control loop no longer runs.
 func (da *Daemon) Handle(ctx context.Context, req peer.Request) (any, error) {
 	var answer any
 	var err error
@@ -282,13 +290,13 @@
 		if req.From != "" {
 			da.loop.Post(control.PullReceived{Peer: req.From, Revision: req.Revision})
 		}
-		da.loop.ask(ctx, func() { answer = da.loop.core.PullAt(da.Clock.Now()) })
+		da.loop.call(ctx, func() { answer = da.loop.core.PullAt(da.Clock.Now()) })
 	case peer.DocsRequest:
-		da.loop.ask(ctx, func() { answer = peer.DocsAnswer{Docs: da.loop.core.Newer(req.Have)} })
+		da.loop.call(ctx, func() { answer = peer.DocsAnswer{Docs: da.loop.core.Newer(req.Have)} })
 	case peer.ConfigRequest:
-		da.loop.ask(ctx, func() { answer, err = da.loop.core.ConfigAfter(req.After) })
+		da.loop.call(ctx, func() { answer, err = da.loop.core.ConfigAfter(req.After) })
 	case peer.SightingsRequest:
-		da.loop.ask(ctx, func() { answer = da.loop.core.ObservationsAt(da.Clock.Now(), req.Since) })
+		da.loop.call(ctx, func() { answer = da.loop.core.ObservationsAt(da.Clock.Now(), req.Since) })
 	}
 	if answer == nil && err == nil {
 		err = errStopping
--- a/internal/daemon/answer_test.go
+++ b/internal/daemon/answer_test.go
@@ -16,19 +16,21 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-var small = stackSize{daemons: 2, vms: 4, vmsPerGroup: 2, replicas: 2}
+// Checks that a caller gets the complete response to its own request, and
+// nothing of another one, under faults of engines and connections.
+var smallSystem = systemSize{daemons: 2, vms: 4, vmsPerGroup: 2, replicas: 2}
 
 func TestHoldOwnAnswer(t *testing.T) {
-	sk := newStack(t, small)
+	sk := newTestSystem(t, smallSystem)
 	const tokens = 30
 	check := func(t *testing.T) {
 		t.Helper()
-		got, err := sk.ask(sk.client(0), tokens)
+		got, err := sk.complete(sk.client(0), tokens)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got != want(tokens) {
-			t.Errorf("answer = %q\nwant %q", got, want(tokens))
+		if got != expectedText(tokens) {
+			t.Errorf("answer = %q\nwant %q", got, expectedText(tokens))
 		}
 	}
 	faultAll := func(ef standin.EngineFaults) {
@@ -36,22 +38,22 @@
 			eh.engine.SetFaults(ef)
 		}
 	}
-	// An engine breaks the stream off after some tokens. The caller sees one
-	// answer without a token lost or doubled: another group goes on from there.
+	// The engines close the stream after some tokens. Another group resumes the
+	// response, and the caller receives each token exactly once.
 	t.Run("cut", func(t *testing.T) {
 		sk.leaders()[0].engine.SetFaults(standin.EngineFaults{CutAfter: 7})
 		sk.leaders()[1].engine.SetFaults(standin.EngineFaults{CutAfter: 5})
 		defer faultAll(standin.EngineFaults{})
 		check(t)
 	})
-	// A stream ends cleanly but without its terminator after its last token.
+	// A stream ends without its terminator after the last token.
 	t.Run("truncated", func(t *testing.T) {
 		faultAll(standin.EngineFaults{Truncate: true})
 		defer faultAll(standin.EngineFaults{})
 		check(t)
 	})
-	// An engine answers with the answer to somebody else's request, as a
-	// connection does that was reused while an old answer was on its way.
+	// An engine returns the response to another request, as happens on a reused
+	// connection with an old response in flight.
 	t.Run("late-answer", func(t *testing.T) {
 		for _, eh := range sk.leaders()[:1] {
 			eh.engine.SetFaults(standin.EngineFaults{Foreign: true})
@@ -61,24 +63,24 @@
 			check(t)
 		}
 	})
-	// Many callers at once, each with a question of its own, while streams are
-	// cut: nobody gets a word of another's answer.
+	// Many callers send different prompts while streams are interrupted. No
+	// response may contain text of another.
 	t.Run("many", func(t *testing.T) {
 		for _, eh := range sk.leaders() {
 			eh.engine.SetFaults(standin.EngineFaults{CutAfter: 3})
 		}
 		var wg sync.WaitGroup
 		for i := range 40 {
-			wg.Go(func() { sk.askOwn(t, i) })
+			wg.Go(func() { sk.checkOwnResponse(t, i) })
 		}
 		wg.Wait()
 	})
-	// The caller hangs up. The engine must stop working on the answer.
+	// The caller disconnects. The engines must stop generating the response.
 	t.Run("caller-gone", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: "long"}}, MaxTokens: 100000}
 		_ = sk.client(0).Stream(ctx, ch, func(string) { cancel() })
-		sk.until("the engines stopped", func() bool {
+		sk.waitUntil("the engines stop", func() bool {
 			for _, eh := range sk.engines {
 				if eh.engine.Busy() > 0 {
 					return false
@@ -87,13 +89,13 @@
 			return true
 		})
 	})
-	// A member of the group dies in mid-stream. The replica dies with it, and
-	// the answer is finished by the other group.
+	// A member of the group crashes in mid-stream and the replica fails with
+	// it. The other group completes the response.
 	t.Run("kill", func(t *testing.T) {
 		leader := sk.leaders()[0]
 		var once sync.Once
 		var text strings.Builder
-		ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: question}}, MaxTokens: tokens}
+		ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: prompt}}, MaxTokens: tokens}
 		for range 4 {
 			text.Reset()
 			err := sk.client(0).Stream(context.Background(), ch, func(piece string) {
@@ -103,15 +105,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if text.String() != want(tokens) {
-				t.Errorf("answer = %q\nwant %q", text.String(), want(tokens))
+			if text.String() != expectedText(tokens) {
+				t.Errorf("answer = %q\nwant %q", text.String(), expectedText(tokens))
 			}
 		}
 	})
 }
 
-// askOwn asks a question that differs from all others and checks the answer.
-func (sk *stack) askOwn(t *testing.T, i int) {
+// checkOwnResponse sends a prompt with number i and checks the response.
+func (sk *testSystem) checkOwnResponse(t *testing.T, i int) {
 	var got, want strings.Builder
 	own := fmt.Sprintf("question %d", i)
 	ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: own}}, MaxTokens: 12}
@@ -128,10 +130,12 @@
 	}
 }
 
-// Every group has been lost and the answer can't be finished. The caller sees
-// an error event with a verdict and a broken transfer, and no terminator.
-func TestBrokenAnswerIsNotWhole(t *testing.T) {
-	sk := newStack(t, stackSize{daemons: 1, vms: 2, vmsPerGroup: 2, replicas: 1, engine: func(en *standin.Engine) { en.TokenTime = 50 * time.Millisecond }})
+// Guards against a truncated response that a client takes for complete. All
+// groups are lost in mid-stream, so the response cannot be resumed. The caller
+// must see an error event with a verdict and an aborted transfer, without the
+// terminator.
+func TestInterruptedStreamEndsWithError(t *testing.T) {
+	sk := newTestSystem(t, systemSize{daemons: 1, vms: 2, vmsPerGroup: 2, replicas: 1, engine: func(en *standin.Engine) { en.TokenTime = 50 * time.Millisecond }})
 	leader := sk.leaders()[0]
 	body := `{"model":"linden","stream":true,"max_tokens":20,"messages":[{"role":"user","content":"x"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+sk.caller(0)+"/v1/chat/completions", strings.NewReader(body))
@@ -150,7 +154,7 @@
 		leader.kill()
 		data := strings.TrimPrefix(sc.Text(), "data: ")
 		if data == "[DONE]" {
-			t.Error("a broken answer ended with the terminator")
+			t.Error("got the terminator after an interrupted response")
 		}
 		if strings.Contains(data, `"error"`) {
 			if err := json.Unmarshal([]byte(data), &lastError); err != nil {
@@ -159,24 +163,26 @@
 		}
 	}
 	if sc.Err() == nil {
-		t.Error("the transfer ended cleanly, want it broken off")
+		t.Error("the transfer ended without an error, want it aborted")
 	}
 	if lastError.Error.Verdict != verdict.MayHaveRun {
 		t.Errorf("verdict = %q, want %q", lastError.Error.Verdict, verdict.MayHaveRun)
 	}
 }
 
+// Checks that a daemon completes all requests that it receives before and
+// during its graceful stop.
 func TestHoldGracefulStop(t *testing.T) {
-	// A daemon is told to stop while streams run through it and new ones keep
-	// coming from a caller who holds an old list of entries. All of them end
-	// whole; then the daemon's process ends.
+	// A daemon is drained while streams run through it and new ones arrive from
+	// a caller with an old list of entries. All streams must complete; then Run
+	// must return without an error.
 	t.Run("streams", func(t *testing.T) {
-		sk := newStack(t, stackSize{daemons: 2, vms: 4, vmsPerGroup: 2, replicas: 2, engine: func(en *standin.Engine) { en.TokenTime = 10 * time.Millisecond }})
+		sk := newTestSystem(t, systemSize{daemons: 2, vms: 4, vmsPerGroup: 2, replicas: 2, engine: func(en *standin.Engine) { en.TokenTime = 10 * time.Millisecond }})
 		var wg sync.WaitGroup
 		started := make(chan struct{}, 100)
 		stream := func() {
 			var text strings.Builder
-			ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: question}}, MaxTokens: 60}
+			ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: prompt}}, MaxTokens: 60}
 			cl := sk.client(0)
 			cl.Attempts = 1
 			err := cl.Stream(context.Background(), ch, func(piece string) {
@@ -188,8 +194,8 @@
 			})
 			if err != nil {
 				t.Error(err)
-			} else if text.String() != want(60) {
-				t.Errorf("answer = %q, want it whole", text.String())
+			} else if text.String() != expectedText(60) {
+				t.Errorf("answer = %q, want the complete text", text.String())
 			}
 		}
 		for range 10 {
@@ -208,10 +214,10 @@
 		}
 		sk.daemons[0].done <- nil
 	})
-	// All daemons are replaced one after another under load. Callers move by
-	// /v1/entries and lose nothing.
+	// All daemons are replaced one at a time under load. Callers find the new
+	// ones through /v1/entries, and no request may fail.
 	t.Run("one-after-another", func(t *testing.T) {
-		sk := newStack(t, stackSize{daemons: 3, vms: 4, vmsPerGroup: 2, replicas: 2})
+		sk := newTestSystem(t, systemSize{daemons: 3, vms: 4, vmsPerGroup: 2, replicas: 2})
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		for i := range 4 {
@@ -223,8 +229,8 @@
 						return
 					default:
 					}
-					if got, err := sk.ask(cl, 20); err != nil || got != want(20) {
-						t.Errorf("answer = %q, %v; want it whole", got, err)
+					if got, err := sk.complete(cl, 20); err != nil || got != expectedText(20) {
+						t.Errorf("answer = %q, %v; want the complete text", got, err)
 						return
 					}
 				}
@@ -232,7 +238,7 @@
 		}
 		for i := range 3 {
 			next := sk.addDaemon(fmt.Sprintf("new%d", i))
-			sk.until("the new daemon serves", func() bool { return sk.serving(next) == 2 })
+			sk.waitUntil("the new daemon serves", func() bool { return sk.servingGroups(next) == 2 })
 			sk.daemons[i].stop()
 			if err := <-sk.daemons[i].done; err != nil {
 				t.Error(err)
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -18,44 +18,45 @@
 	"corianderhub.dev/corianderhub/internal/platform/claims"
 )
 
-// build makes the daemon's parts and connects them.
+// build creates the components of the daemon and connects them. Their work ends
+// with ctx.
 func (da *Daemon) build(ctx context.Context, tlsConfig *tls.Config, conn *net.UDPConn) {
 	da.ctx = ctx
-	da.leave = make(chan struct{})
-	if da.Route == nil {
-		da.Route = route.TokenAffinity{}
+	da.drainRequested = make(chan struct{})
+	if da.RoutePolicy == nil {
+		da.RoutePolicy = route.TokenAffinity{}
 	}
 	da.platform = &platform.Client{Address: da.Settings.Platform}
 	da.chain = chainstore.Store{KV: da.platform, Clock: da.Clock}
-	da.members = endpoint.Members{Transport: endpoint.NewTransport(memberConns)}
+	da.memberClient = endpoint.Members{Transport: endpoint.NewTransport(memberIdleConns)}
 	da.claims = &claims.Book{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
 	da.journal = &caller.Journal{}
-	da.buildCallers()
-	set := da.Settings.control()
-	set.Policy = da.Planner
+	da.buildCallerServer()
+	set := da.Settings.controlSettings()
+	set.Policy = da.PlannerPolicy
 	da.loop = newLoop(control.New(set, da.Clock.Now()), da.Clock)
-	da.loop.act = da.act
-	da.loop.viewed = func(vi *control.View) {
-		da.callers.Pools.Update(vi)
-		da.export(vi)
+	da.loop.startAction = da.startAction
+	da.loop.onView = func(vi *control.View) {
+		da.callerServer.Pools.Update(vi)
+		da.exportMetrics(vi)
 	}
-	da.callers.Control = da.loop
+	da.callerServer.Control = da.loop
 	da.node = &peer.Node{Conn: conn, TLS: tlsConfig, Handler: da, Log: da.Log}
 }
 
-func (da *Daemon) buildCallers() {
-	da.callers = &caller.Server{
+func (da *Daemon) buildCallerServer() {
+	da.callerServer = &caller.Server{
 		Clock:           da.Clock,
 		Log:             da.Log,
-		Pools:           &caller.Pools{Clock: da.Clock, Policy: da.Route},
-		Engines:         endpoint.Engines{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineConns))},
+		Pools:           &caller.Pools{Clock: da.Clock, Policy: da.RoutePolicy},
+		Engines:         endpoint.Engines{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineIdleConns))},
 		Claims:          da.claims,
 		Journal:         da.journal,
 		DataCenter:      da.Settings.DataCenter,
 		StallTimeout:    time.Duration(da.Settings.Timing.Stall),
 		EntriesLifetime: time.Duration(da.Settings.Timing.Entries),
 		Services: endpoint.Services{
-			Transport:     otelhttp.NewTransport(endpoint.NewTransport(serviceConns)),
+			Transport:     otelhttp.NewTransport(endpoint.NewTransport(serviceIdleConns)),
 			OnceTransport: otelhttp.NewTransport(endpoint.NewOnceTransport()),
 		},
 	}
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -9,23 +9,23 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// A client library that knows nothing of corianderhub gets a streamed and a
-// plain answer, and its usual errors.
-func TestUnmodifiedClient(t *testing.T) {
-	sk := newStack(t, stackSize{daemons: 1, vms: 2, vmsPerGroup: 2, replicas: 1})
+// Guards the compatibility with the OpenAI API: an unmodified client library
+// gets plain and streamed responses, the list of models, and its usual errors.
+func TestUnmodifiedOpenAIClient(t *testing.T) {
+	sk := newTestSystem(t, systemSize{daemons: 1, vms: 2, vmsPerGroup: 2, replicas: 1})
 	cl := openai.NewClient(option.WithBaseURL("http://"+sk.caller(0)+"/v1"), option.WithAPIKey(workspaceKey))
 	params := openai.ChatCompletionNewParams{
 		Model:     "linden",
 		MaxTokens: openai.Int(8),
-		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage(question)},
+		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage(prompt)},
 	}
 	t.Run("plain", func(t *testing.T) {
 		an, err := cl.Chat.Completions.New(context.Background(), params)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := an.Choices[0].Message.Content; got != want(8) || an.Choices[0].FinishReason != "stop" {
-			t.Errorf("answer = %q (%s), want %q", got, an.Choices[0].FinishReason, want(8))
+		if got := an.Choices[0].Message.Content; got != expectedText(8) || an.Choices[0].FinishReason != "stop" {
+			t.Errorf("answer = %q (%s), want %q", got, an.Choices[0].FinishReason, expectedText(8))
 		}
 		if an.Usage.CompletionTokens != 8 {
 			t.Errorf("usage = %d tokens, want 8", an.Usage.CompletionTokens)
@@ -42,8 +42,8 @@
 		if err := st.Err(); err != nil {
 			t.Fatal(err)
 		}
-		if text.String() != want(8) {
-			t.Errorf("answer = %q, want %q", text.String(), want(8))
+		if text.String() != expectedText(8) {
+			t.Errorf("answer = %q, want %q", text.String(), expectedText(8))
 		}
 	})
 	t.Run("wrong key", func(t *testing.T) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon wires one corianderhub daemon: the control state with the
-// sockets, timers and files round it, and the listeners for callers,
-// operators, other daemons and metrics.
+// Package daemon assembles a corianderhub daemon: it connects the control state
+// to sockets, timers and the platform, and serves callers, operators, other
+// daemons and metrics.
 package daemon
 
 import (
@@ -32,53 +32,57 @@
 	"corianderhub.dev/corianderhub/internal/platform/claims"
 )
 
-// Limits of the listeners.
+// Limits of the listeners and of outgoing connections.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// engineConns and serviceConns are idle connections kept for each endpoint.
-	engineConns  = 64
-	serviceConns = 16
-	memberConns  = 1
-	// settleLimit bounds the wait for claims that are given back or recorded
-	// after their request was answered. One that is not stays claimed.
-	settleLimit = 15 * time.Second
-	// revisionTimeout bounds asking all daemons for their revisions.
+	// Maximum numbers of idle connections kept for each endpoint, by its kind.
+	engineIdleConns  = 64
+	serviceIdleConns = 16
+	memberIdleConns  = 1
+	// settleTimeout bounds the wait for claims that are released or recorded in
+	// the background after the response. A claim that is not settled by then
+	// remains held.
+	settleTimeout = 15 * time.Second
+	// revisionTimeout bounds the requests for the revisions of all daemons.
 	revisionTimeout = 2 * time.Second
 )
 
-// Daemon is one daemon. Set the exported fields before Run.
+// Daemon is one daemon. Set the exported fields before calling Run.
 type Daemon struct {
 	Settings Settings
 	Keys     peer.Material
 	Clock    clock.Clock
 	Log      *slog.Logger
-	// Route is how groups are picked; the product's own policy when nil.
-	Route route.Policy
-	// Planner selects the planner's decisions.
-	Planner fleet.Policy
+	// RoutePolicy selects the group for a request; nil means
+	// route.TokenAffinity.
+	RoutePolicy route.Policy
+	// PlannerPolicy parameterizes the planner that assigns VMs to groups.
+	PlannerPolicy fleet.Policy
 
-	// ctx is the context of all work; cancel ends it without draining.
-	ctx      context.Context
-	cancel   context.CancelFunc
-	loop     *loop
-	node     *peer.Node
-	platform *platform.Client
-	chain    chainstore.Store
-	claims   *claims.Book
-	members  endpoint.Members
-	callers  *caller.Server
-	journal  *caller.Journal
-	leave    chan struct{}
-	leaving  sync.Once
-	// accounted is when the users' measures were last added up.
-	accounted time.Time
+	// ctx is the context of all work; cancel stops it without draining.
+	ctx          context.Context
+	cancel       context.CancelFunc
+	loop         *loop
+	node         *peer.Node
+	platform     *platform.Client
+	chain        chainstore.Store
+	claims       *claims.Book
+	memberClient endpoint.Members
+	callerServer *caller.Server
+	journal      *caller.Journal
+	// drainRequested is closed by Drain, once.
+	drainRequested chan struct{}
+	drainOnce      sync.Once
+	// lastExport is the time of the last addition to the exported counters.
+	lastExport time.Time
 }
 
-// Run serves until ctx ends or the daemon has been drained. When ctx ends it
-// stops gracefully: it leaves the list of entries, goes on serving for as
-// long as callers may keep that list, and then waits for requests in flight.
+// Run serves until the daemon has been drained. It drains when ctx ends or an
+// operator requests it: the daemon leaves the list of entries, keeps serving
+// for as long as callers may cache that list, and then waits for the requests
+// in flight.
 func (da *Daemon) Run(ctx context.Context) error {
 	tls, err := da.Keys.Config()
 	if err != nil {
@@ -88,22 +92,23 @@
 	if err != nil {
 		return err
 	}
-	// Work goes on while the daemon drains, so it has a context of its own.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// Work continues while the daemon drains, so its context does not end with
+	// ctx.
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	da.cancel = stop
-	da.build(work, tls, ls.peer)
+	da.build(workCtx, tls, ls.peer)
 
 	var gr run.Group
 	add := func(fn func(context.Context) error) {
-		part, cancel := context.WithCancel(work)
-		gr.Add(func() error { return fn(part) }, func(error) { cancel() })
+		actorCtx, cancel := context.WithCancel(workCtx)
+		gr.Add(func() error { return fn(actorCtx) }, func(error) { cancel() })
 	}
-	add(func(part context.Context) error { return da.drainWhenTold(ctx, part) })
+	add(func(actorCtx context.Context) error { return da.drainOnRequest(ctx, actorCtx) })
 	add(da.loop.run)
 	add(da.node.Run)
-	add(da.serveHTTP(ls.caller, otelhttp.NewHandler(da.callers.Handler(), "caller")))
-	add(da.serveHTTP(ls.operator, otelhttp.NewHandler(da.operators().Handler(), "operator")))
+	add(da.serveHTTP(ls.caller, otelhttp.NewHandler(da.callerServer.Handler(), "caller")))
+	add(da.serveHTTP(ls.operator, otelhttp.NewHandler(da.operatorServer().Handler(), "operator")))
 	add(da.serveHTTP(ls.metrics, metricsHandler()))
 	da.Log.Info("Daemon: started.", "name", da.Settings.Name, "caller", da.Settings.Listen.Caller)
 	err = gr.Run()
@@ -111,7 +116,7 @@
 	return err
 }
 
-// listeners are the daemon's bound sockets.
+// listeners holds the bound sockets of the daemon.
 type listeners struct {
 	caller, operator, metrics net.Listener
 	peer                      *net.UDPConn
@@ -135,7 +140,7 @@
 	return ls, eris.Wrap(err, "listen")
 }
 
-// serveHTTP returns a part of the run group that serves a listener.
+// serveHTTP returns an actor of the run group that serves a listener.
 func (da *Daemon) serveHTTP(ln net.Listener, handler http.Handler) func(context.Context) error {
 	sv := &http.Server{
 		Handler:           handler,
@@ -161,36 +166,37 @@
 	return mux
 }
 
-func (da *Daemon) operators() *operator.Server {
+func (da *Daemon) operatorServer() *operator.Server {
 	return &operator.Server{State: da, Chain: da.chain, Clock: da.Clock, Log: da.Log, Journal: da.journal,
 		TokenSHA256: da.Settings.Operator.TokenSHA256}
 }
 
-// drainWhenTold stops the daemon gracefully when ctx ends or an operator asks
-// for it. It ends when nothing is in flight, and with it the run group.
-func (da *Daemon) drainWhenTold(ctx, part context.Context) error {
+// drainOnRequest waits until ctx ends or an operator requests a graceful stop,
+// and then drains the daemon. It returns when no request is in flight or the
+// drain timeout has passed. Its return stops the run group.
+func (da *Daemon) drainOnRequest(ctx, actorCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-da.leave:
-	case <-part.Done():
+	case <-da.drainRequested:
+	case <-actorCtx.Done():
 		return nil
 	}
 	ti := da.Settings.Timing
 	da.Log.Info("Daemon: leaving.", "name", da.Settings.Name)
 	da.loop.Post(control.Leave{})
-	// Callers may keep the list of entries that names this daemon: requests
-	// that come until then are served like any others.
-	if err := da.Clock.Sleep(part, time.Duration(ti.Entries)+time.Duration(ti.Pull)); err != nil {
+	// Callers may still cache a list of entries that names this daemon.
+	// Requests that arrive until the list expires are served normally.
+	if err := da.Clock.Sleep(actorCtx, time.Duration(ti.Entries)+time.Duration(ti.Pull)); err != nil {
 		return nil
 	}
-	limit, cancel := context.WithTimeout(part, time.Duration(ti.Drain))
+	drainCtx, cancel := context.WithTimeout(actorCtx, time.Duration(ti.Drain))
 	defer cancel()
-	if err := da.callers.Drain(limit); err != nil {
-		da.Log.Warn("Daemon: requests in flight were cut off.", "limit", time.Duration(ti.Drain))
+	if err := da.callerServer.Drain(drainCtx); err != nil {
+		da.Log.Warn("Daemon: drain timeout reached with requests in flight.", "limit", time.Duration(ti.Drain))
 	}
-	settle, cancel := context.WithTimeout(limit, settleLimit)
+	settleCtx, cancel := context.WithTimeout(drainCtx, settleTimeout)
 	defer cancel()
-	da.claims.Wait(settle)
+	da.claims.Wait(settleCtx)
 	return nil
 }
 
@@ -203,12 +209,12 @@
 // Domains implements operator.State.
 func (da *Daemon) Domains() []fleet.Domain {
 	var doms []fleet.Domain
-	da.loop.ask(da.ctx, func() { doms = da.loop.core.Domains() })
+	da.loop.call(da.ctx, func() { doms = da.loop.core.Domains() })
 	return doms
 }
 
 // Drain implements operator.State.
-func (da *Daemon) Drain() { da.leaving.Do(func() { close(da.leave) }) }
+func (da *Daemon) Drain() { da.drainOnce.Do(func() { close(da.drainRequested) }) }
 
 // Revisions implements operator.State.
 func (da *Daemon) Revisions(ctx context.Context) map[string]uint64 {
@@ -235,8 +241,8 @@
 	return revisions
 }
 
-// claimOwner returns the peer address of the daemon that merges a shard's
-// claims, or "" when this daemon does.
+// claimOwner returns the peer address of the daemon that merges the claims of a
+// shard, or "" if it is this daemon.
 func (da *Daemon) claimOwner(shard int) string {
 	vi := da.View()
 	var serving []gossip.Daemon
--- a/internal/daemon/export.go
+++ b/internal/daemon/export.go
@@ -9,20 +9,20 @@
 	"corianderhub.dev/corianderhub/internal/core/control"
 )
 
-// accountPause is the time between two additions to the counters of what the
-// users measure. It bounds their resolution.
-const accountPause = time.Second
+// exportInterval is the minimum time between two additions to the counters, and
+// so bounds their resolution.
+const exportInterval = time.Second
 
-// export adds to the counters of group downtime and stranded accelerators,
-// which only the steward of a data center does, and sets the gauges.
-func (da *Daemon) export(vi *control.View) {
+// exportMetrics sets the gauges, and on the steward of the data centre adds the
+// elapsed time to the counters of group downtime and stranded accelerators.
+func (da *Daemon) exportMetrics(vi *control.View) {
 	now := da.Clock.Now()
-	gone := now.Sub(da.accounted)
-	if gone < accountPause {
+	elapsed := now.Sub(da.lastExport)
+	if elapsed < exportInterval {
 		return
 	}
-	first := da.accounted.IsZero()
-	da.accounted = now
+	first := da.lastExport.IsZero()
+	da.lastExport = now
 	metrics.GetOrCreateGauge("corianderhub_config_revision", nil).Set(float64(vi.Config.Revision))
 	metrics.GetOrCreateGauge("corianderhub_groups_permitted", nil).Set(float64(len(vi.Groups)))
 	if first || !vi.Steward.Acting {
@@ -31,10 +31,10 @@
 	dc := da.Settings.DataCenter
 	ac := vi.Steward.Stats
 	stranded := fmt.Sprintf(`corianderhub_stranded_accelerator_seconds_total{data_center=%q}`, dc)
-	metrics.GetOrCreateFloatCounter(stranded).Add(gone.Seconds() * float64(ac.Stranded))
+	metrics.GetOrCreateFloatCounter(stranded).Add(elapsed.Seconds() * float64(ac.Stranded))
 	for spec, down := range ac.Down {
 		model := vi.Config.Groups[spec].Model
 		name := fmt.Sprintf(`corianderhub_group_downtime_seconds_total{data_center=%q,group=%q,model=%q}`, dc, spec, model)
-		metrics.GetOrCreateFloatCounter(name).Add(gone.Seconds() * float64(down))
+		metrics.GetOrCreateFloatCounter(name).Add(elapsed.Seconds() * float64(down))
 	}
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -24,44 +24,48 @@
 	"corianderhub.dev/corianderhub/pkg/hub"
 )
 
-// waitLimit bounds waits for an outcome. It is generous: a test that waits
-// for it has failed, whatever the machine's speed.
+// waitLimit bounds all waits for a condition. It is far above the usual time of
+// any, so that a slow machine causes no failures.
 const waitLimit = 60 * time.Second
 
 const (
+	// Secrets of the test system's workspace and operators.
 	workspaceKey  = "nursery-secret"
 	operatorToken = "operator-secret"
 )
 
-// stack is a whole system in one process: stand-ins and daemons on loopback.
-type stack struct {
+// testSystem is a complete system in one process: an emulated platform, engines
+// and a service, and daemons, all on loopback.
+type testSystem struct {
 	t        *testing.T
 	platform *standin.Platform
 	address  string
-	engines  []*engineHost
+	engines  []*engineServer
 	service  *standin.Service
 	services []string
-	daemons  []*daemonHost
+	daemons  []*daemonServer
 	keys     peer.Material
 }
 
-// engineHost is an engine with its listener, which a test can kill.
-type engineHost struct {
+// engineServer is an emulated engine with its listener.
+type engineServer struct {
 	engine *standin.Engine
 	server *httptest.Server
 	stop   context.CancelFunc
 }
 
-type daemonHost struct {
+// daemonServer is a daemon that runs on a goroutine; done receives the result
+// of Run.
+type daemonServer struct {
 	daemon *Daemon
 	stop   context.CancelFunc
 	done   chan error
 }
 
-// stackSize says what a stack consists of.
-type stackSize struct {
+// systemSize is the number of components of a testSystem.
+type systemSize struct {
 	daemons, vms, vmsPerGroup, replicas int
-	// engine is applied to each engine before it starts.
+	// engine, if set, configures each engine before it starts.
 	engine func(*standin.Engine)
 }
 
@@ -70,13 +74,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func newStack(t *testing.T, size stackSize) *stack {
+func newTestSystem(t *testing.T, size systemSize) *testSystem {
 	t.Helper()
 	keys, err := peer.NewMaterial(time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	sk := &stack{t: t, keys: keys, service: &standin.Service{}}
+	sk := &testSystem{t: t, keys: keys, service: &standin.Service{}}
 	sk.platform = standin.NewPlatform(nil, 0)
 	sk.address = sk.serve(sk.platform.Handler())
 	for i := range size.vms {
@@ -94,7 +98,7 @@
 	return sk
 }
 
-func (sk *stack) serve(handler http.Handler) string {
+func (sk *testSystem) serve(handler http.Handler) string {
 	sv := httptest.NewServer(handler)
 	sk.t.Cleanup(func() {
 		sv.CloseClientConnections()
@@ -103,28 +107,30 @@
 	return sv.Listener.Addr().String()
 }
 
-func (sk *stack) addEngine(vm string, change func(*standin.Engine)) {
+func (sk *testSystem) addEngine(vm string, change func(*standin.Engine)) {
 	en := &standin.Engine{VM: vm, Incarnation: vm + "-1", Platform: sk.address, LoadTime: 10 * time.Millisecond, TokenTime: 2 * time.Millisecond}
 	if change != nil {
 		change(en)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	eh := &engineHost{engine: en, server: httptest.NewServer(en.Handler()), stop: stop}
+	eh := &engineServer{engine: en, server: httptest.NewServer(en.Handler()), stop: stop}
 	go en.Run(ctx)
 	sk.t.Cleanup(eh.kill)
 	sk.engines = append(sk.engines, eh)
 	sk.platform.SetVM(platform.VM{Name: vm, Address: eh.server.Listener.Addr().String(), DataCenter: "gent", FabricDomain: "a", State: platform.VMLive})
 }
 
-// kill ends the engine: connections break and new ones are refused.
-func (eh *engineHost) kill() {
+// kill stops the engine as a crash would: open connections break and new ones
+// are refused.
+func (eh *engineServer) kill() {
 	eh.stop()
 	eh.server.CloseClientConnections()
 	eh.server.Listener.Close()
 }
 
-// freeAddress returns a loopback address whose port is free for TCP and UDP.
-func (sk *stack) freeAddress() string {
+// freeAddress returns a loopback address whose port is free for both TCP and
+// UDP.
+func (sk *testSystem) freeAddress() string {
 	for {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -140,18 +146,19 @@
 	}
 }
 
-func (sk *stack) addDaemon(name string) *daemonHost {
+// addDaemon starts a daemon that knows all earlier ones as seeds.
+func (sk *testSystem) addDaemon(name string) *daemonServer {
 	set := Settings{Name: name, DataCenter: "gent", Region: "flanders", Platform: sk.address,
 		Listen:   Listen{Caller: sk.freeAddress(), Operator: sk.freeAddress(), Peer: sk.freeAddress(), Metrics: sk.freeAddress()},
 		Operator: Operator{TokenSHA256: digest(operatorToken)},
-		Timing:   Timing{Probe: dur(100), Pull: dur(100), Permit: dur(5000), Entries: dur(300), Lease: dur(3000), List: dur(500), Stall: dur(2000)}}
+		Timing:   Timing{Probe: millis(100), Pull: millis(100), Permit: millis(5000), Entries: millis(300), Lease: millis(3000), List: millis(500), Stall: millis(2000)}}
 	for _, dh := range sk.daemons {
 		set.Seeds = append(set.Seeds, dh.daemon.Settings.Listen.Peer)
 	}
-	set.defaults()
+	set.applyDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	da := &Daemon{Settings: set, Keys: sk.keys, Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-	dh := &daemonHost{daemon: da, stop: stop, done: make(chan error, 1)}
+	dh := &daemonServer{daemon: da, stop: stop, done: make(chan error, 1)}
 	go func() { dh.done <- da.Run(ctx) }()
 	sk.t.Cleanup(func() {
 		stop()
@@ -165,10 +172,11 @@
 	return dh
 }
 
-func dur(ms int) intent.Duration { return intent.Duration(time.Duration(ms) * time.Millisecond) }
+func millis(ms int) intent.Duration { return intent.Duration(time.Duration(ms) * time.Millisecond) }
 
-// declare applies the usual declarations and waits until the groups serve.
-func (sk *stack) declare(size stackSize) {
+// declare applies the default declarations and waits until all groups serve on
+// all daemons.
+func (sk *testSystem) declare(size systemSize) {
 	sk.t.Helper()
 	text := fmt.Sprintf(`
 [[model]]
@@ -195,9 +203,9 @@
 timeout = "2s"
 `, size.vmsPerGroup, size.replicas, digest(workspaceKey), sk.services[0], sk.services[1])
 	sk.apply(0, text)
-	sk.until("the groups serve everywhere", func() bool {
+	sk.waitUntil("the groups serve everywhere", func() bool {
 		for _, dh := range sk.daemons {
-			if sk.serving(dh) < size.replicas {
+			if sk.servingGroups(dh) < size.replicas {
 				return false
 			}
 		}
@@ -205,27 +213,29 @@
 	})
 }
 
-func (sk *stack) apply(daemon int, text string) {
+// apply sends declarations to a daemon until it accepts them.
+func (sk *testSystem) apply(daemon int, text string) {
 	sk.t.Helper()
 	var err error
-	sk.until("the declarations are accepted", func() bool {
+	sk.waitUntil("the declarations are accepted", func() bool {
 		_, err = sk.admin(daemon).Apply(context.Background(), admin.Apply{File: "test.toml", Text: text})
 		return err == nil
 	})
 }
 
-func (sk *stack) admin(daemon int) *admin.Client {
+func (sk *testSystem) admin(daemon int) *admin.Client {
 	return &admin.Client{Address: sk.daemons[daemon].daemon.Settings.Listen.Operator, Token: operatorToken}
 }
 
-// serving returns how many groups the daemon may send to.
-func (sk *stack) serving(dh *daemonHost) int {
-	return servingAt(&admin.Client{Address: dh.daemon.Settings.Listen.Operator, Token: operatorToken})
+// servingGroups returns the number of groups that the daemon may send requests
+// to.
+func (sk *testSystem) servingGroups(dh *daemonServer) int {
+	return servingGroupsAt(&admin.Client{Address: dh.daemon.Settings.Listen.Operator, Token: operatorToken})
 }
 
-// servingAt asks a daemon how many groups it may send to; none if it does not
-// answer.
-func servingAt(cl *admin.Client) int {
+// servingGroupsAt requests from a daemon the number of groups that it may send
+// requests to. It returns 0 if the daemon does not respond.
+func servingGroupsAt(cl *admin.Client) int {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	st, err := cl.Status(ctx)
@@ -241,26 +251,27 @@
 	return num
 }
 
-func (sk *stack) until(what string, ok func() bool) {
+// waitUntil polls a condition and fails the test after waitLimit.
+func (sk *testSystem) waitUntil(what string, ok func() bool) {
 	sk.t.Helper()
 	end := time.Now().Add(waitLimit)
 	for !ok() {
 		if time.Now().After(end) {
-			sk.t.Fatalf("still not: %s", what)
+			sk.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// client returns a callers' client that starts at the daemon.
-func (sk *stack) client(daemon int) *hub.Client {
+// client returns a caller's client with the daemon as its only seed.
+func (sk *testSystem) client(daemon int) *hub.Client {
 	return &hub.Client{Seeds: []string{sk.caller(daemon)}, Key: workspaceKey, HTTP: &http.Client{Transport: &http.Transport{}}}
 }
 
-func (sk *stack) caller(daemon int) string { return sk.daemons[daemon].daemon.Settings.Listen.Caller }
+func (sk *testSystem) caller(nth int) string { return sk.daemons[nth].daemon.Settings.Listen.Caller }
 
-// post sends one request to one daemon, without any retry.
-func (sk *stack) post(daemon int, path, body string, header map[string]string) (*http.Response, []byte, error) {
+// post sends one request to one daemon without retries.
+func (sk *testSystem) post(daemon int, path, body string, header map[string]string) (*http.Response, []byte, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+sk.caller(daemon)+path, strings.NewReader(body))
 	if err != nil {
 		sk.t.Fatal(err)
@@ -279,28 +290,28 @@
 	return rsp, raw, err
 }
 
-const question = "A substitute for a sold-out linden?"
+const prompt = "A substitute for a sold-out linden?"
 
-// want is the whole answer to question.
-func want(tokens int) string {
+// expectedText returns the complete response to prompt.
+func expectedText(tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(standin.Word(`user"`+question+`"`, i))
+		text.WriteString(standin.Word(`user"`+prompt+`"`, i))
 	}
 	return text.String()
 }
 
-// ask streams a completion through the client and returns its text.
-func (sk *stack) ask(cl *hub.Client, tokens int) (string, error) {
+// complete streams a completion through the client and returns its text.
+func (sk *testSystem) complete(cl *hub.Client, tokens int) (string, error) {
 	var text strings.Builder
-	ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: question}}, MaxTokens: tokens}
+	ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: prompt}}, MaxTokens: tokens}
 	err := cl.Stream(context.Background(), ch, func(piece string) { text.WriteString(piece) })
 	return text.String(), err
 }
 
 // leaders returns the engines that lead a group.
-func (sk *stack) leaders() []*engineHost {
-	var leaders []*engineHost
+func (sk *testSystem) leaders() []*engineServer {
+	var leaders []*engineServer
 	for _, eh := range sk.engines {
 		if eh.engine.Leads() {
 			leaders = append(leaders, eh)
@@ -309,11 +320,11 @@
 	return leaders
 }
 
-// runs returns how often the key ran at the service.
-func (sk *stack) runs(key string) int { return sk.service.Runs()[key] }
+// runs returns how many times the service ran the key.
+func (sk *testSystem) runs(key string) int { return sk.service.Runs()[key] }
 
-// together runs the functions at the same moment and waits for all.
-func together(fns ...func()) {
+// runConcurrently starts the functions at the same time and waits for all.
+func runConcurrently(fns ...func()) {
 	start := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, fn := range fns {
@@ -326,7 +337,7 @@
 	wg.Wait()
 }
 
-// abort ends the daemon as SIGKILL would: nothing is drained or handed over.
+// abort stops the daemon as SIGKILL would: nothing is drained or handed over.
 func (da *Daemon) abort() {
 	da.cancel()
 }
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -10,43 +10,45 @@
 )
 
 const (
-	// tickPause is the pause between two ticks of the control state.
-	tickPause = 50 * time.Millisecond
-	// eventQueue is how many events may wait. Evidence from traffic is dropped
-	// when it is full; everything else waits.
-	eventQueue = 1024
+	// tickInterval is the time between two ticks of the control state.
+	tickInterval = 50 * time.Millisecond
+	// eventQueueSize is the capacity of the event queue. When it is full,
+	// ResponseStarted events, which are evidence from traffic, are dropped; all
+	// other events wait.
+	eventQueueSize = 1024
 )
 
-// loop runs the control state on one goroutine. Traffic reads its views.
+// loop runs the control state on one goroutine. Request handlers read the views
+// that it publishes.
 type loop struct {
 	core   *control.Core
 	clock  clock.Clock
 	events chan control.Event
-	asks   chan func()
+	calls  chan func()
 	done   chan struct{}
 	view   atomic.Pointer[control.View]
-	// act carries out an action without blocking the loop.
-	act func(control.Action)
-	// viewed is called with each new view.
-	viewed func(*control.View)
+	// startAction starts an action without blocking the loop.
+	startAction func(control.Action)
+	// onView is called on the loop's goroutine with each new view.
+	onView func(*control.View)
 }
 
 func newLoop(core *control.Core, cl clock.Clock) *loop {
 	lo := &loop{
 		core:   core,
 		clock:  cl,
-		events: make(chan control.Event, eventQueue),
-		asks:   make(chan func()),
+		events: make(chan control.Event, eventQueueSize),
+		calls:  make(chan func()),
 		done:   make(chan struct{}),
 	}
 	lo.view.Store(core.View())
 	return lo
 }
 
-// run handles events until ctx ends.
+// run handles events, ticks and calls until ctx ends.
 func (lo *loop) run(ctx context.Context) error {
 	defer close(lo.done)
-	ticker := time.NewTicker(tickPause)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -60,13 +62,14 @@
 			if urgent(ev) {
 				lo.publish()
 			}
-		case ask := <-lo.asks:
-			ask()
+		case call := <-lo.calls:
+			call()
 		}
 	}
 }
 
-// urgent events change what traffic may do and don't wait for the next tick.
+// urgent reports whether an event can change which requests are allowed. The
+// view is then published immediately and not at the next tick.
 func urgent(ev control.Event) bool {
 	switch ev := ev.(type) {
 	case control.Revoked, control.Leave, control.ConfigArrived, control.DocsArrived:
@@ -79,20 +82,20 @@
 
 func (lo *loop) step(ev control.Event) {
 	for _, ac := range lo.core.Step(lo.clock.Now(), ev) {
-		lo.act(ac)
+		lo.startAction(ac)
 	}
 }
 
 func (lo *loop) publish() {
 	vi := lo.core.View()
 	lo.view.Store(vi)
-	lo.viewed(vi)
+	lo.onView(vi)
 }
 
 // View implements caller.Control.
 func (lo *loop) View() *control.View { return lo.view.Load() }
 
-// Post implements caller.Control.
+// Post implements caller.Control. After the loop has ended, events are dropped.
 func (lo *loop) Post(ev control.Event) {
 	if _, ok := ev.(control.ResponseStarted); ok {
 		select {
@@ -107,12 +110,12 @@
 	}
 }
 
-// ask runs fn on the loop's goroutine and waits for it. It returns false if
-// the loop has ended.
-func (lo *loop) ask(ctx context.Context, fn func()) bool {
+// call runs fn on the loop's goroutine and waits for it. It returns false if the
+// loop or ctx ends before fn starts; fn then does not run.
+func (lo *loop) call(ctx context.Context, fn func()) bool {
 	done := make(chan struct{})
 	select {
-	case lo.asks <- func() { fn(); close(done) }:
+	case lo.calls <- func() { fn(); close(done) }:
 		<-done
 		return true
 	case <-lo.done:
--- a/internal/daemon/once_test.go
+++ b/internal/daemon/once_test.go
@@ -17,7 +17,7 @@
 const confirm = "/orders/confirm"
 
 // book sends one booking to one daemon and returns the status and verdict.
-func (sk *stack) book(daemon int, key string) (int, verdict.Verdict, error) {
+func (sk *testSystem) book(daemon int, key string) (int, verdict.Verdict, error) {
 	rsp, raw, err := sk.post(daemon, confirm, `{"pallets":2}`, map[string]string{hub.HeaderIdempotencyKey: key})
 	if err != nil {
 		return 0, verdict.MayHaveRun, err
@@ -27,17 +27,19 @@
 	return rsp.StatusCode, eb.Error.Verdict, nil
 }
 
-// wantRuns checks how often the key ran.
-func (sk *stack) wantRuns(t *testing.T, key string, want int) {
+// checkRuns checks how many times the service ran the key.
+func (sk *testSystem) checkRuns(t *testing.T, key string, want int) {
 	t.Helper()
 	if got := sk.runs(key); got != want {
 		t.Errorf("%s ran %d times, want %d", key, got, want)
 	}
 }
 
+// Checks that a booking, which must not be repeated, runs at most once under
+// concurrent duplicates, lost messages and the loss of a daemon.
 func TestHoldAtMostOnce(t *testing.T) {
-	sk := newStack(t, small)
-	// The same booking through both daemons at the same moment, many times.
+	sk := newTestSystem(t, smallSystem)
+	// Concurrent duplicates of a booking arrive through both daemons.
 	t.Run("same-moment", func(t *testing.T) {
 		for i := range 20 {
 			key := fmt.Sprint("same-", i)
@@ -45,12 +47,12 @@
 			for j := range 6 {
 				fns = append(fns, func() { sk.book(j%2, key) })
 			}
-			together(fns...)
-			sk.wantRuns(t, key, 1)
+			runConcurrently(fns...)
+			sk.checkRuns(t, key, 1)
 		}
 	})
-	// The service runs the booking and its answer is lost. The caller is told
-	// that it may have run, and trying again does not run it again.
+	// The service runs the booking and its response is lost. The caller gets
+	// the verdict may-have-run, and a retry must not run the booking again.
 	t.Run("lost-answer", func(t *testing.T) {
 		sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
 		for i := range 4 {
@@ -58,10 +60,10 @@
 				t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
 			}
 		}
-		sk.wantRuns(t, "lost", 1)
+		sk.checkRuns(t, "lost", 1)
 	})
-	// The service takes the booking and never answers: a connection that is
-	// silent for good.
+	// The service accepts the booking and never responds, while the connection
+	// stays open.
 	t.Run("silent-connection", func(t *testing.T) {
 		sk.service.SetFaults(standin.ServiceFaults{Silent: true})
 		if _, ve, err := sk.book(0, "silent"); err != nil || ve != verdict.MayHaveRun {
@@ -71,33 +73,34 @@
 		if _, ve, err := sk.book(1, "silent"); err != nil || ve != verdict.MayHaveRun {
 			t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
 		}
-		sk.wantRuns(t, "silent", 1)
+		sk.checkRuns(t, "silent", 1)
 	})
-	// The answer to the claim's write is lost: it is read back and found.
+	// The response to the write of the claim is lost. The claim is read back
+	// and found.
 	t.Run("lost-claim", func(t *testing.T) {
 		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseAnswers: 1}})
 		if status, _, err := sk.book(0, "claim"); err != nil || status != http.StatusOK {
 			t.Errorf("status = %d, %v; want %d", status, err, http.StatusOK)
 		}
 		sk.book(1, "claim")
-		sk.wantRuns(t, "claim", 1)
+		sk.checkRuns(t, "claim", 1)
 	})
 	// No claim can be made while the platform is down. The booking is refused
-	// at once as not run, and afterwards the same key goes through.
+	// immediately as not run, and the same key succeeds after the outage.
 	t.Run("platform-outage", func(t *testing.T) {
 		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{Down: true}})
 		if _, ve, err := sk.book(0, "outage"); err != nil || ve != verdict.NotRun {
 			t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.NotRun)
 		}
-		sk.wantRuns(t, "outage", 0)
+		sk.checkRuns(t, "outage", 0)
 		sk.platform.SetFaults(standin.PlatformFaults{})
-		sk.until("the booking goes through", func() bool {
+		sk.waitUntil("the booking succeeds after the outage", func() bool {
 			status, _, err := sk.book(1, "outage")
 			return err == nil && status == http.StatusOK
 		})
-		sk.wantRuns(t, "outage", 1)
+		sk.checkRuns(t, "outage", 1)
 	})
-	// A key that is used for another request is refused as not run.
+	// A key that was used for a different request is refused as not run.
 	t.Run("key-reused", func(t *testing.T) {
 		sk.book(0, "reused")
 		rsp, raw, err := sk.post(1, confirm, `{"pallets":3}`, map[string]string{hub.HeaderIdempotencyKey: "reused"})
@@ -107,9 +110,9 @@
 		if rsp.StatusCode != http.StatusUnprocessableEntity || !strings.Contains(string(raw), "not-run") {
 			t.Errorf("status = %d, body %s; want a refusal as not run", rsp.StatusCode, raw)
 		}
-		sk.wantRuns(t, "reused", 1)
+		sk.checkRuns(t, "reused", 1)
 	})
-	// A booking without a key whose answer is lost is not sent again, though
+	// A booking without a key whose response is lost is not retried, although
 	// the endpoint has another address.
 	t.Run("without-key", func(t *testing.T) {
 		before := sk.runs("")
@@ -121,10 +124,11 @@
 		if rsp.StatusCode == http.StatusOK || !strings.Contains(string(raw), "may-have-run") {
 			t.Errorf("status = %d, body %s; want may-have-run", rsp.StatusCode, raw)
 		}
-		sk.wantRuns(t, "", before+1)
+		sk.checkRuns(t, "", before+1)
 	})
-	// A daemon is killed with the booking under way; the caller's client goes
-	// to the other one. The booking ran or it may have; it never runs twice.
+	// A daemon is killed while the booking is in flight, and the client retries
+	// at the other daemon. The verdict must not be not-run, and the booking
+	// must not run twice.
 	t.Run("kill", func(t *testing.T) {
 		sk.service.SetFaults(standin.ServiceFaults{Slow: 300 * time.Millisecond})
 		defer sk.service.SetFaults(standin.ServiceFaults{})
@@ -133,7 +137,7 @@
 		killed := make(chan struct{})
 		go func() {
 			defer close(killed)
-			sk.until("the booking runs", func() bool { return sk.runs("killed") > 0 })
+			sk.waitUntil("the booking runs", func() bool { return sk.runs("killed") > 0 })
 			sk.daemons[0].daemon.abort()
 		}()
 		cl := sk.client(0)
@@ -142,39 +146,41 @@
 		_, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirm, Body: []byte(`{}`), Key: "killed"})
 		<-killed
 		if err != nil && verdict.Of(err) == verdict.NotRun {
-			t.Errorf("the booking ran and the caller was told %v", err)
+			t.Errorf("the booking ran, but the caller got verdict not-run: %v", err)
 		}
-		sk.wantRuns(t, "killed", 1)
+		sk.checkRuns(t, "killed", 1)
 	})
 }
 
+// Checks that a request refused as not run has not run, and that its
+// idempotency key is free again afterwards.
 func TestHoldRefusalNotRun(t *testing.T) {
-	sk := newStack(t, small)
-	// Each of these refuses a booking as not run. It must not have run, and
-	// the same key must go through once the cause is gone.
+	sk := newTestSystem(t, smallSystem)
+	// Each case makes a daemon refuse a booking as not run. The booking must
+	// not have run, and the same key must succeed after the cause is removed.
 	tests := []struct {
 		name  string
 		begin func()
 		end   func()
 	}{
-		// The service itself says that it did not run the call.
+		// The service responds that it did not run the call.
 		{"refused",
 			func() { sk.service.SetFaults(standin.ServiceFaults{Refuse: true}) },
 			func() { sk.service.SetFaults(standin.ServiceFaults{}) }},
-		// The claim can't be written.
+		// The claim cannot be written.
 		{"platform-outage",
 			func() {
 				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{Down: true}})
 			},
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
-		// The claim is lost on its way, again and again.
+		// Every write of the claim is lost before it is stored.
 		{"lost-answer",
 			func() {
 				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseWrites: 1000}})
 			},
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
-		// The platform answers so late that the claim is given up, and stores
-		// it all the same.
+		// The platform stores the claim, but responds only after the claim has
+		// timed out.
 		{"slow",
 			func() { sk.platform.SetFaults(standin.PlatformFaults{Slow: 3 * time.Second}) },
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
@@ -186,16 +192,17 @@
 			if err != nil || status == http.StatusOK || ve != verdict.NotRun {
 				t.Errorf("status = %d, verdict = %q, %v; want a refusal as %q", status, ve, err, verdict.NotRun)
 			}
-			sk.wantRuns(t, tc.name, 0)
+			sk.checkRuns(t, tc.name, 0)
 			tc.end()
-			sk.until("the key goes through", func() bool {
+			sk.waitUntil("a booking with the key succeeds", func() bool {
 				status, _, err := sk.book(1, tc.name)
 				return err == nil && status == http.StatusOK
 			})
-			sk.wantRuns(t, tc.name, 1)
+			sk.checkRuns(t, tc.name, 1)
 		})
 	}
-	// No address of the service accepts connections: nothing can have run.
+	// No address of the service accepts connections, so the call cannot have
+	// run.
 	t.Run("kill", func(t *testing.T) {
 		sk.apply(0, fmt.Sprintf("[[endpoint]]\nname = \"gone\"\nroute = \"/gone/\"\naddresses = [%q]\nnot-repeatable = [\"POST /gone/\"]\n", sk.freeAddress()))
 		rsp, raw, err := sk.post(0, "/gone/x", `{}`, map[string]string{hub.HeaderIdempotencyKey: "gone"})
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -22,14 +22,14 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// process is a daemon in a process of its own.
+// process is a daemon in its own process.
 type process struct {
 	set  Settings
 	file string
 	cmd  *exec.Cmd
 }
 
-// buildProgram builds the daemon's program once for a test.
+// buildProgram builds the daemon's program and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "corianderhub")
@@ -40,8 +40,9 @@
 	return program
 }
 
-// newProcesses starts daemons as processes in front of the stack's stand-ins.
-func newProcesses(t *testing.T, sk *stack, program string, num int) []*process {
+// startProcesses starts daemons as processes that use the emulators of the test
+// system.
+func startProcesses(t *testing.T, sk *testSystem, program string, num int) []*process {
 	t.Helper()
 	dir := t.TempDir()
 	for name, raw := range map[string][]byte{"ca.pem": sk.keys.CA, "daemon.pem": sk.keys.Cert, "daemon-key.pem": sk.keys.Key} {
@@ -114,8 +115,9 @@
 	return &admin.Client{Address: pr.set.Listen.Operator, Token: operatorToken}
 }
 
-// serving returns how many groups the process may send to.
-func (pr *process) serving() int { return servingAt(pr.admin()) }
+// servingGroups returns the number of groups that the process may send requests
+// to.
+func (pr *process) servingGroups() int { return servingGroupsAt(pr.admin()) }
 
 const declarations = `
 [[model]]
@@ -142,33 +144,33 @@
 timeout = "2s"
 `
 
-// declareTo applies the declarations and waits until every process serves.
-func declareTo(t *testing.T, sk *stack, procs []*process) {
+// declareAndWait applies the declarations and waits until every process serves
+// the group.
+func declareAndWait(t *testing.T, sk *testSystem, procs []*process) {
 	t.Helper()
 	text := fmt.Sprintf(declarations, digest(workspaceKey), sk.services[0])
-	sk.until("the declarations are accepted", func() bool {
+	sk.waitUntil("the declarations are accepted", func() bool {
 		_, err := procs[0].admin().Apply(context.Background(), admin.Apply{File: "test.toml", Text: text})
 		return err == nil
 	})
 	for _, pr := range procs {
-		sk.until("every process serves", func() bool { return pr.serving() == 1 })
+		sk.waitUntil("every process serves", func() bool { return pr.servingGroups() == 1 })
 	}
 }
 
-// Callers send bookings with keys and repeat each until it is answered, while
-// daemons are killed and started again, and stopped and continued, under them,
-// and the service loses answers. What a confirmation sent twice would mean for
-// a buyer is a second lorry: no booking may run twice, and every one that a
-// caller was told of has run.
-func TestBookingsThroughKillsAndFreezes(t *testing.T) {
-	sk := newStack(t, stackSize{vms: 3})
+// Guards against a booking that runs twice or is confirmed without having run.
+// Callers retry each booking with its key while daemons are killed and
+// restarted or suspended (SIGSTOP) and resumed, and the service drops
+// responses. A confirmation that runs twice sends a buyer a second lorry.
+func TestBookingsRunAtMostOnceUnderKillsAndSuspensions(t *testing.T) {
+	sk := newTestSystem(t, systemSize{vms: 3})
 	program := buildProgram(t)
-	procs := newProcesses(t, sk, program, 3)
-	declareTo(t, sk, procs)
+	procs := startProcesses(t, sk, program, 3)
+	declareAndWait(t, sk, procs)
 	const bookings, callers = 240, 24
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
-	faults.Go(func() { disturb(t, sk, procs, program, stop) })
+	faults.Go(func() { injectFaults(t, sk, procs, program, stop) })
 	var wg sync.WaitGroup
 	confirmed := make([]bool, bookings)
 	for i := range callers {
@@ -178,7 +180,7 @@
 				cl.Seeds = append(cl.Seeds, pr.set.Listen.Caller)
 			}
 			for j := i; j < bookings; j += callers {
-				confirmed[j] = bookOnce(t, cl, fmt.Sprint("booking-", j))
+				confirmed[j] = bookUntilVerdict(t, cl, fmt.Sprint("booking-", j))
 			}
 		})
 	}
@@ -197,15 +199,15 @@
 		}
 		done += min(1, runs[key])
 	}
-	t.Logf("%d of %d bookings ran, none twice", done, bookings)
+	t.Logf("%d of %d bookings ran", done, bookings)
 	if done < bookings/2 {
-		t.Errorf("only %d of %d bookings ran: the test has proved little", done, bookings)
+		t.Errorf("only %d of %d bookings ran: want at least half for a meaningful test", done, bookings)
 	}
 }
 
-// bookOnce repeats a booking until its fate is known, and tells whether it was
-// confirmed.
-func bookOnce(t *testing.T, cl *hub.Client, key string) bool {
+// bookUntilVerdict retries a booking until its verdict is final and reports
+// whether it was confirmed.
+func bookUntilVerdict(t *testing.T, cl *hub.Client, key string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	an, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirm, Body: []byte(`{}`), Key: key})
@@ -213,13 +215,14 @@
 		return an.Status == http.StatusOK
 	}
 	if verdict.Of(err) == "" {
-		t.Errorf("%s: no verdict: %v", key, err)
+		t.Errorf("%s: error without a verdict: %v", key, err)
 	}
 	return false
 }
 
-// disturb kills, restarts, stops and continues processes until told to stop.
-func disturb(t *testing.T, sk *stack, procs []*process, program string, stop <-chan struct{}) {
+// injectFaults kills and restarts or suspends and resumes processes, or drops a
+// response of the service, until stop is closed.
+func injectFaults(t *testing.T, sk *testSystem, procs []*process, program string, stop <-chan struct{}) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for i := 0; ; i++ {
 		select {
@@ -242,14 +245,15 @@
 	}
 }
 
-// The steward's process is stopped (SIGSTOP) past its lease in the middle of a
-// repair. Another one finishes the repair; what the first does when it goes on
-// breaks nothing.
-func TestStewardStoppedDuringRepair(t *testing.T) {
-	sk := newStack(t, stackSize{vms: 3})
+// Guards against a former steward that overwrites the work of its successor.
+// The steward's process is suspended (SIGSTOP) beyond its lease during a
+// repair, and another daemon completes the repair. After the former steward
+// resumes, the groups must stay as they are.
+func TestStewardSuspendedDuringRepair(t *testing.T) {
+	sk := newTestSystem(t, systemSize{vms: 3})
 	program := buildProgram(t)
-	procs := newProcesses(t, sk, program, 3)
-	declareTo(t, sk, procs)
+	procs := startProcesses(t, sk, program, 3)
+	declareAndWait(t, sk, procs)
 	st, err := procs[0].admin().Status(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -266,39 +270,40 @@
 		t.Fatalf("no process is named %q", st.Steward)
 	}
 	steward.cmd.Process.Signal(syscall.SIGSTOP)
-	sk.until("another steward repaired the group", func() bool {
-		for _, vms := range groupsOf(t, sk, procs, steward) {
+	sk.waitUntil("another steward repairs the group", func() bool {
+		for _, vms := range groupVMs(t, sk, procs, steward) {
 			if slices.Contains(vms, lost.engine.VM) {
 				return false
 			}
 		}
 		for _, pr := range procs {
-			if pr != steward && pr.serving() != 1 {
+			if pr != steward && pr.servingGroups() != 1 {
 				return false
 			}
 		}
 		return true
 	})
-	repaired := groupsOf(t, sk, procs, steward)
+	repaired := groupVMs(t, sk, procs, steward)
 	steward.cmd.Process.Signal(syscall.SIGCONT)
-	sk.until("all serve, the former steward too", func() bool {
+	sk.waitUntil("every process serves, including the former steward", func() bool {
 		for _, pr := range procs {
-			if pr.serving() != 1 {
+			if pr.servingGroups() != 1 {
 				return false
 			}
 		}
 		return true
 	})
-	if diff := cmp.Diff(repaired, groupsOf(t, sk, procs, nil)); diff != "" {
-		t.Errorf("the former steward changed the groups (-before +after):\n%s", diff)
+	if diff := cmp.Diff(repaired, groupVMs(t, sk, procs, nil)); diff != "" {
+		t.Errorf("groups changed after the former steward resumed (-before +after):\n%s", diff)
 	}
 }
 
-// groupsOf returns the groups' VMs as a process other than except knows them.
-func groupsOf(t *testing.T, sk *stack, procs []*process, except *process) map[string][]string {
+// groupVMs returns the VMs of each group as reported by the first process other
+// than except.
+func groupVMs(t *testing.T, sk *testSystem, procs []*process, except *process) map[string][]string {
 	t.Helper()
 	groups := make(map[string][]string)
-	sk.until("a process tells the groups", func() bool {
+	sk.waitUntil("a process reports its groups", func() bool {
 		for _, pr := range procs {
 			if pr == except {
 				continue
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -16,23 +16,26 @@
 	"corianderhub.dev/corianderhub/pkg/admin"
 )
 
-// Settings are a daemon's own, read from a TOML file at its start. What all
-// daemons share is configuration and comes from the platform.
+// Settings are the settings of one daemon, read from a TOML file at startup.
+// The configuration that all daemons share is read from the platform.
 type Settings struct {
-	Name       string   `toml:"name"`
-	DataCenter string   `toml:"data-center"`
-	Region     string   `toml:"region"`
-	Platform   string   `toml:"platform"`
-	Seeds      []string `toml:"seeds"`
-	Listen     Listen   `toml:"listen"`
-	TLS        TLS      `toml:"tls"`
-	Operator   Operator `toml:"operator"`
-	Timing     Timing   `toml:"timing"`
-	Trace      Trace    `toml:"trace"`
-	Log        Log      `toml:"log"`
+	Name       string `toml:"name"`
+	DataCenter string `toml:"data-center"`
+	Region     string `toml:"region"`
+	// Platform is the address (IP:port) of the platform API.
+	Platform string `toml:"platform"`
+	// Seeds are the peer addresses of other daemons to contact first.
+	Seeds    []string `toml:"seeds"`
+	Listen   Listen   `toml:"listen"`
+	TLS      TLS      `toml:"tls"`
+	Operator Operator `toml:"operator"`
+	Timing   Timing   `toml:"timing"`
+	Trace    Trace    `toml:"trace"`
+	Log      Log      `toml:"log"`
 }
 
-// Listen holds the addresses that the daemon binds, as IP:port.
+// Listen holds the addresses that the daemon listens on, as IP:port. Peer is a
+// UDP address, the others are TCP.
 type Listen struct {
 	Caller   string `toml:"caller"`
 	Operator string `toml:"operator"`
@@ -47,12 +50,14 @@
 	Key  string `toml:"key"`
 }
 
-// Operator says who may use the administration API.
+// Operator holds the credentials for the administration API.
 type Operator struct {
+	// TokenSHA256 is the SHA-256 digest of the operators' token, as 64 hex digits.
 	TokenSHA256 string `toml:"token-sha256"`
 }
 
-// Timing holds the daemon's intervals; zero values take the defaults.
+// Timing holds intervals and timeouts of the daemon. Zero values are replaced
+// by defaults. The fields before Entries are described at control.Timing.
 type Timing struct {
 	Probe      intent.Duration `toml:"probe"`
 	Sweep      intent.Duration `toml:"sweep"`
@@ -61,39 +66,42 @@
 	Lease      intent.Duration `toml:"lease"`
 	List       intent.Duration `toml:"list"`
 	ProbeBytes int             `toml:"probe-bytes"`
-	// Entries is how long callers may keep the list of addresses.
+	// Entries is how long callers may cache the list of daemon addresses.
 	Entries intent.Duration `toml:"entries"`
-	// Stall is how long an engine may send nothing.
+	// Stall is the longest time between two chunks from an engine before the
+	// attempt fails.
 	Stall intent.Duration `toml:"stall"`
 	// Drain bounds the wait for requests in flight at a graceful stop.
 	Drain intent.Duration `toml:"drain"`
 }
 
-// Trace says where spans go; empty values turn tracing off.
+// Trace configures tracing.
 type Trace struct {
-	// OTLP is the URL of an OTLP/HTTP receiver.
+	// OTLP is the URL of an OTLP/HTTP receiver; tracing is off if it is empty.
 	OTLP string `toml:"otlp"`
 }
 
-// Log says how the daemon logs.
+// Log configures the log output.
 type Log struct {
-	// JSON writes one JSON object a line in place of text.
+	// JSON selects one JSON object per line instead of text.
 	JSON bool `toml:"json"`
 }
 
+// Defaults of the fields of Timing with the same names.
 const (
 	defaultEntries = 10 * time.Second
 	defaultStall   = 10 * time.Second
 	defaultDrain   = 10 * time.Minute
 )
 
-// SettingsError lists everything that is wrong with a settings file.
+// SettingsError holds all problems of a settings file, one line each.
 type SettingsError struct{ Problems []string }
 
 // Error implements the error interface.
 func (se *SettingsError) Error() string { return strings.Join(se.Problems, "\n") }
 
-// ReadSettings reads and checks a settings file.
+// ReadSettings reads and validates a settings file and sets defaults. If the
+// file cannot be read or is invalid, the error is a *SettingsError.
 func ReadSettings(file string) (Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -102,7 +110,8 @@
 	return ParseSettings(file, string(raw))
 }
 
-// ParseSettings reads and checks the text of a settings file.
+// ParseSettings parses and validates the text of a settings file and sets
+// defaults. The name of the file is used in problems only.
 func ParseSettings(file, text string) (Settings, error) {
 	var set Settings
 	md, err := toml.Decode(text, &set)
@@ -114,7 +123,7 @@
 	for _, key := range md.Undecoded() {
 		problems = append(problems, admin.Problem{File: file, Line: lines.Key(key), Key: key.String(), Reason: "unknown key"}.String())
 	}
-	for _, pr := range set.check() {
+	for _, pr := range set.validate() {
 		table, key, ok := strings.Cut(pr.key, ".")
 		line := lines.TopLevel(pr.key)
 		if ok {
@@ -125,18 +134,19 @@
 	if len(problems) > 0 {
 		return set, &SettingsError{problems}
 	}
-	set.defaults()
+	set.applyDefaults()
 	return set, nil
 }
 
-// problem is one setting that is wrong.
-type problem struct{ key, reason string }
+// settingProblem is an invalid setting and what it must be.
+type settingProblem struct{ key, reason string }
 
-func (set Settings) check() []problem {
-	var problems []problem
+// validate returns the problems of all settings.
+func (set Settings) validate() []settingProblem {
+	var problems []settingProblem
 	want := func(ok bool, key, reason string) {
 		if !ok {
-			problems = append(problems, problem{key, reason})
+			problems = append(problems, settingProblem{key, reason})
 		}
 	}
 	want(set.Name != "" && !strings.ContainsAny(set.Name, "/ "), "name", "must be a name without spaces and slashes")
@@ -175,7 +185,8 @@
 	return err == nil && net.ParseIP(host) != nil && port != "" && port != "0"
 }
 
-func (set *Settings) defaults() {
+// applyDefaults replaces the zero values of Timing.
+func (set *Settings) applyDefaults() {
 	de := control.DefaultTiming
 	ti := &set.Timing
 	for _, du := range []struct {
@@ -195,8 +206,8 @@
 	}
 }
 
-// control returns the settings of the control state.
-func (set Settings) control() control.Settings {
+// controlSettings returns the settings of the control state.
+func (set Settings) controlSettings() control.Settings {
 	ti := set.Timing
 	return control.Settings{
 		Name:       set.Name,
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -25,6 +25,7 @@
 probe = "200ms"
 `
 
+// Each invalid setting is reported with its line, key and reason.
 func TestParseSettings(t *testing.T) {
 	tests := []struct {
 		name string
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -13,10 +13,12 @@
 	"go.opentelemetry.io/otel/sdk/trace"
 )
 
-const traceFlush = 2 * time.Second
+// traceFlushTimeout bounds the delivery of the remaining spans at exit.
+const traceFlushTimeout = 2 * time.Second
 
-// StartTracing passes W3C trace context on, and sends spans to the receiver
-// in the settings, if there is one. The function returned flushes them.
+// StartTracing enables propagation of W3C trace context and, if the settings
+// name an OTLP receiver, the export of spans to it. The returned function
+// flushes the remaining spans.
 func StartTracing(ctx context.Context, set Settings) (func(), error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if set.Trace.OTLP == "" {
@@ -30,9 +32,9 @@
 	tp := trace.NewTracerProvider(trace.WithBatcher(ex), trace.WithResource(rs))
 	otel.SetTracerProvider(tp)
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), traceFlush)
+		ctx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
-		// Spans that can't be delivered at the end are lost.
+		// Spans that cannot be delivered by then are lost.
 		_ = tp.Shutdown(ctx)
 	}, nil
 }
