--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -59,9 +59,9 @@
 	Clock    clock.Clock
 	Log      *slog.Logger
 	Pools    *Pools
-	Engines  endpoint.Engines
-	Services endpoint.Services
-	Claims   *claims.Book
+	Engines  endpoint.EngineClient
+	Services endpoint.ServiceClient
+	Claims   *claims.Registry
 	Journal  *Journal
 	// DataCenter is the name of the data centre that this daemon runs in.
 	DataCenter string
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -280,15 +280,15 @@
 	co.pool.router.Remember(co.routing, gr)
 	co.ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: "picked", Load: gr.Load()})
 	at := &delivery{se: se, co: co, gr: gr, target: ta, sentAt: se.Clock.Now()}
-	return se.Engines.Complete(ctx, endpoint.Completion{
-		RequestID: co.ex.id,
-		Address:   ta.Address,
-		Group:     ta.Group.ID,
-		Fence:     ta.Group.Fence,
-		Path:      co.ex.req.URL.Path,
-		Body:      body,
-		Stall:     se.StallTimeout,
-		Before:    at.checkPermit,
+	return se.Engines.Complete(ctx, endpoint.CompletionRequest{
+		RequestID:    co.ex.id,
+		Address:      ta.Address,
+		Group:        ta.Group.ID,
+		Fence:        ta.Group.Fence,
+		Path:         co.ex.req.URL.Path,
+		Body:         body,
+		StallTimeout: se.StallTimeout,
+		BeforeSend:   at.checkPermit,
 	}, at.relayChunk)
 }
 
@@ -342,10 +342,10 @@
 		co.sentTokens++
 		co.sentText.WriteString(ch.Text)
 	}
-	if ch.Finish != "" {
-		co.finishReason = ch.Finish
+	if ch.FinishReason != "" {
+		co.finishReason = ch.FinishReason
 	}
-	if ch.Text == "" && ch.Finish == "" {
+	if ch.Text == "" && ch.FinishReason == "" {
 		return nil
 	}
 	return co.out.writeChunk(ch)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -56,7 +56,7 @@
 	}
 	// The claim may have been stored although its response was lost. It is
 	// released, so that a retry of the caller is not refused as a duplicate.
-	se.Claims.Settle(op)
+	se.Claims.ReleaseInBackground(op)
 	return atMostOnce{}, nil, &verdict.Error{Code: verdict.CodeNoClaim, Verdict: verdict.NotRun, RetryAfter: 2 * time.Second,
 		Message: "the key could not be claimed, so the request was not dispatched"}
 }
@@ -75,7 +75,7 @@
 			outcome.Body, outcome.Omitted = nil, true
 		}
 		op.Outcome = outcome
-		se.Claims.Record(op)
+		se.Claims.RecordInBackground(op)
 	case verdict.Of(err) == verdict.NotRun:
 		se.releaseClaim(op)
 	}
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	if se.Claims.Do(ctx, op).Answer != claim.Applied {
-		se.Claims.Settle(op)
+		se.Claims.ReleaseInBackground(op)
 	}
 }
 
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -87,7 +87,7 @@
 }
 
 // call makes attempts until one succeeds or no further attempt is allowed.
-func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on atMostOnce) (endpoint.Answer, error) {
+func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on atMostOnce) (endpoint.Response, error) {
 	se.budget.Earn()
 	timeout := time.Duration(en.Timeout)
 	if timeout == 0 {
@@ -97,19 +97,19 @@
 	for {
 		addr := se.picker.pick(en, tried, se.Clock.Now())
 		if addr == "" {
-			return endpoint.Answer{}, &verdict.Error{Code: verdict.CodeNoGroup, Verdict: verdict.NotRun,
+			return endpoint.Response{}, &verdict.Error{Code: verdict.CodeNoGroup, Verdict: verdict.NotRun,
 				RetryAfter: time.Second, Message: "no address of the endpoint is in use"}
 		}
 		tried = append(tried, addr)
 		an, err := se.Services.Do(ctx, endpoint.Call{
-			RequestID: ex.id,
-			Address:   addr,
-			Method:    ex.req.Method,
-			Path:      ex.req.URL.RequestURI(),
-			Header:    forwardedHeader(ex),
-			Body:      ex.body,
-			Once:      on.required,
-			Timeout:   timeout,
+			RequestID:  ex.id,
+			Address:    addr,
+			Method:     ex.req.Method,
+			Path:       ex.req.URL.RequestURI(),
+			Header:     forwardedHeader(ex),
+			Body:       ex.body,
+			AtMostOnce: on.required,
+			Timeout:    timeout,
 		})
 		if err == nil {
 			ex.record.addAttempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: "answered"})
@@ -119,7 +119,7 @@
 		se.picker.markFailed(addr, se.Clock.Now())
 		retryAllowed := on.mayRetry(err, idempotent(ex.req.Method)) && ctx.Err() == nil && len(tried) < maxCallAttempts
 		if !retryAllowed || !se.budget.Spend() {
-			return endpoint.Answer{}, err
+			return endpoint.Response{}, err
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	return hdr
 }
 
-func writeResponse(w http.ResponseWriter, an endpoint.Answer) {
+func writeResponse(w http.ResponseWriter, an endpoint.Response) {
 	for name, values := range an.Header {
 		if !slices.Contains(hopHeaders, name) && name != endpoint.HeaderRequestID {
 			w.Header()[name] = values
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -28,8 +28,8 @@
 	}
 	da.platform = &platform.Client{Address: da.Settings.Platform}
 	da.chain = chainstore.Store{KV: da.platform, Clock: da.Clock}
-	da.memberClient = endpoint.Members{Transport: endpoint.NewTransport(memberIdleConns)}
-	da.claims = &claims.Book{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
+	da.memberClient = endpoint.MemberClient{Transport: endpoint.NewTransport(memberIdleConns)}
+	da.claims = &claims.Registry{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
 	da.journal = &caller.Journal{}
 	da.buildCallerServer()
 	set := da.Settings.controlSettings()
@@ -49,15 +49,15 @@
 		Clock:           da.Clock,
 		Log:             da.Log,
 		Pools:           &caller.Pools{Clock: da.Clock, Policy: da.RoutePolicy},
-		Engines:         endpoint.Engines{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineIdleConns))},
+		Engines:         endpoint.EngineClient{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineIdleConns))},
 		Claims:          da.claims,
 		Journal:         da.journal,
 		DataCenter:      da.Settings.DataCenter,
 		StallTimeout:    time.Duration(da.Settings.Timing.Stall),
 		EntriesLifetime: time.Duration(da.Settings.Timing.Entries),
-		Services: endpoint.Services{
-			Transport:     otelhttp.NewTransport(endpoint.NewTransport(serviceIdleConns)),
-			OnceTransport: otelhttp.NewTransport(endpoint.NewOnceTransport()),
+		Services: endpoint.ServiceClient{
+			Transport:        otelhttp.NewTransport(endpoint.NewTransport(serviceIdleConns)),
+			NoReuseTransport: otelhttp.NewTransport(endpoint.NewNoReuseTransport()),
 		},
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,8 +68,8 @@
 	node         *peer.Node
 	platform     *platform.Client
 	chain        chainstore.Store
-	claims       *claims.Book
-	memberClient endpoint.Members
+	claims       *claims.Registry
+	memberClient endpoint.MemberClient
 	callerServer *caller.Server
 	journal      *caller.Journal
 	// drainRequested is closed by Drain, once.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -98,13 +98,13 @@
 
 func hangUp(so *Soak, rnd *rand.Rand, _ time.Duration) { pick(rnd, so.daemons).signal(syscall.SIGHUP) }
 
-var storeFaults = []emulator.StoreFault{emulator.Busy, emulator.Silent, emulator.LosesAnswers}
+var storeFaults = []emulator.StoreFault{emulator.Busy, emulator.Unresponsive, emulator.DropsResponses}
 
 func storeForOne(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	ga := pick(rnd, so.gates)
 	ga.SetFault(pick(rnd, storeFaults))
 	so.sleep(dur)
-	ga.SetFault(emulator.Sound)
+	ga.SetFault(emulator.NoStoreFault)
 }
 
 func storeForAll(so *Soak, rnd *rand.Rand, dur time.Duration) {
@@ -114,18 +114,18 @@
 	}
 	so.sleep(dur)
 	for _, ga := range so.gates {
-		ga.SetFault(emulator.Sound)
+		ga.SetFault(emulator.NoStoreFault)
 	}
 }
 
 // dropHistory changes the configuration unseen by watches and then drops the
 // history that tells of it.
 func dropHistory(so *Soak, _ *rand.Rand, _ time.Duration) {
-	so.deployment.Store.Mute(true)
+	so.deployment.Store.MuteWatches(true)
 	so.configure()
 	so.sleep(time.Second)
 	so.deployment.Store.Compact()
-	so.deployment.Store.Mute(false)
+	so.deployment.Store.MuteWatches(false)
 }
 
 func endLeases(so *Soak, _ *rand.Rand, _ time.Duration) { so.deployment.Store.EndLeases() }
@@ -148,7 +148,7 @@
 	}
 	so.deployment.Kill(id)
 	so.sleep(dur)
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.addServer()
 }
 
@@ -164,12 +164,12 @@
 	so.deployment.Leave(id)
 	// Its requests last for a second; it goes on for a little longer.
 	so.sleep(2 * drainTime)
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.deployment.Kill(id)
 }
 
 func serverMisbehaves(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	kinds := []emulator.Fault{emulator.Refuses, emulator.Fails, emulator.Truncates, emulator.LosesAnswer, emulator.Foreign}
+	kinds := []emulator.Fault{emulator.Refuses, emulator.Fails, emulator.Truncates, emulator.DropsResponse, emulator.MismatchedResponse}
 	so.misbehave(rnd, pick(rnd, kinds), dur)
 }
 
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -52,19 +52,19 @@
 func nameLimit(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	sv := so.anyServer(rnd)
 	so.Log.Info("soak: server names a limit.", "server", sv.ID, "for", dur)
-	sv.SetNeed(emulator.Need{Limit: "1"})
+	sv.SetBackpressure(emulator.Backpressure{Limit: "1"})
 	begin := time.Now()
 	so.sleep(needLearnt + needWindow + dur)
-	so.check.Limited(sv.ID, sv.Busiest(needWindow, begin.Add(needLearnt)), begin)
-	sv.SetNeed(emulator.Need{})
+	so.check.Limited(sv.ID, sv.PeakArrivals(needWindow, begin.Add(needLearnt)), begin)
+	sv.SetBackpressure(emulator.Backpressure{})
 }
 
 func askForRest(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	sv := so.anyServer(rnd)
 	so.Log.Info("soak: server asks for rest.", "server", sv.ID, "for", dur)
-	sv.SetNeed(emulator.Need{Sheds: true, Rest: "2"})
+	sv.SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: "2"})
 	so.sleep(dur)
-	sv.SetNeed(emulator.Need{})
+	sv.SetBackpressure(emulator.Backpressure{})
 }
 
 // leaveByAnswer lets a server leave whose entry says so too late.
@@ -75,9 +75,9 @@
 	}
 	so.Log.Info("soak: server leaves by its answers.", "server", id)
 	so.addServer()
-	so.deployment.Server(id).SetNeed(emulator.Need{Leaving: true})
+	so.deployment.Server(id).SetBackpressure(emulator.Backpressure{Leaving: true})
 	so.sleep(2 * drainTime)
 	defer so.check.Fault()()
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.deployment.Kill(id)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -41,7 +41,7 @@
 	check      *Checker
 	deployment *emulator.Deployment
 	daemons    []*process
-	gates      []*emulator.Gate
+	gates      []*emulator.StoreProxy
 	storeWays  []*Proxy
 	mu         sync.Mutex
 	serverWays map[string]*Proxy
@@ -89,13 +89,13 @@
 
 // start starts the emulated platform and the daemons.
 func (so *Soak) start() error {
-	so.deployment = &emulator.Deployment{Models: so.Models, Desks: so.Desks, EventEvery: eventEvery, Proxy: so.proxyServer}
+	so.deployment = &emulator.Deployment{ModelServers: so.Models, PlainServers: so.Desks, EventInterval: eventEvery, Proxy: so.proxyServer}
 	if err := so.deployment.Start(so.ctx); err != nil {
 		return err
 	}
 	ip := func(num int) string { return fmt.Sprintf("127.0.%d.%d", so.Subnet, num+1) }
 	for num := range so.Daemons {
-		ga, addr, err := so.deployment.OpenGate()
+		ga, addr, err := so.deployment.OpenStoreProxy()
 		if err != nil {
 			return err
 		}
