--- a/internal/story/line.go
+++ b/internal/story/line.go
@@ -1,5 +1,6 @@
-// Package story reads the log lines of daemons and tells what became of a
-// request, or what a daemon believed at a moment.
+// Package story reads the logs of daemons and explains how a request was
+// handled, or which state a daemon was in at a given time. It matches messages
+// and attribute keys letter for letter, also in logs that other builds wrote.
 package story
 
 import (
@@ -15,20 +16,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one line of a daemon's log.
+// Line is one parsed line of a daemon's log.
 type Line struct {
 	At time.Time
-	// Source is the file that the line stands in.
+	// Source is the name of the log that contains the line, as given to Read.
 	Source  string
 	Message string
-	// Attrs are the line's attributes in their order.
+	// Attrs are the attributes in the order of the log, without time, level and
+	// message.
 	Attrs []Attr
 }
 
-// Attr is an attribute of a line.
+// Attr is one attribute of a line. Values of all types are kept as text.
 type Attr struct{ Key, Value string }
 
-// Get returns the value of an attribute, or "".
+// Get returns the value of the first attribute with that key, or "" if there is
+// none.
 func (li *Line) Get(key string) string {
 	for _, at := range li.Attrs {
 		if at.Key == key {
@@ -38,13 +41,15 @@
 	return ""
 }
 
-// part is the prefix of the message, which names the part of the daemon.
-func (li *Line) part() string {
+// component returns the message up to its first colon, which names the component
+// of the daemon that wrote the line.
+func (li *Line) component() string {
 	part, _, _ := strings.Cut(li.Message, ":")
 	return part
 }
 
-// String returns the line in one form, whatever the form of the log was.
+// String formats the line in the same way for both log formats: time of day in
+// UTC, source, message and all attributes that are not empty.
 func (li *Line) String() string {
 	var sb strings.Builder
 	fmt.Fprintf(&sb, "%s %s %s", li.At.UTC().Format("15:04:05.000"), li.Source, li.Message)
@@ -61,14 +66,16 @@
 	return sb.String()
 }
 
-// maxLine bounds a line; a view of all groups takes some 20 KB.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line accepted. The longest lines, views of all
+// groups, take some 20 KB.
+const maxLineBytes = 1 << 20
 
-// Read reads a log in text or JSON form. Lines in another form are counted and
-// passed over: a log may begin or end in the middle of one.
+// Read parses a log in the text or JSON format of log/slog. Malformed lines are
+// skipped and counted, because a log may begin or end in the middle of a line.
+// The error is that of the reader, or bufio.ErrTooLong.
 func Read(source string, from io.Reader) (lines []Line, skipped int, err error) {
 	sc := bufio.NewScanner(from)
-	sc.Buffer(make([]byte, 0, 64<<10), maxLine)
+	sc.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for sc.Scan() {
 		li, ok := parse(sc.Text())
 		if !ok {
@@ -81,8 +88,8 @@
 	return lines, skipped, eris.Wrap(sc.Err(), source)
 }
 
-// Sort puts the lines of several logs in the order of their times. Lines of one
-// log with the same time stay in their order.
+// Sort sorts the lines of several logs by time. The sort is stable, so lines of
+// one log with the same time keep their order.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(one, other Line) int { return one.At.Compare(other.At) })
 }
@@ -94,7 +101,7 @@
 	return parseText(text)
 }
 
-// parseText reads key=value pairs, of which values may be quoted.
+// parseText parses key=value pairs. Values may be quoted.
 func parseText(text string) (Line, bool) {
 	var li Line
 	for text = strings.TrimSpace(text); text != ""; text = strings.TrimLeft(text, " ") {
@@ -108,18 +115,19 @@
 			if err != nil {
 				return li, false
 			}
-			val, _ = strconv.Unquote(quoted) // QuotedPrefix has checked it.
+			val, _ = strconv.Unquote(quoted) // QuotedPrefix has validated it.
 			text = rest[len(quoted):]
 		} else {
 			val, text, _ = strings.Cut(rest, " ")
 		}
-		if !li.set(key, val) {
+		if !li.setAttr(key, val) {
 			return li, false
 		}
 	}
 	return li, li.Message != "" && !li.At.IsZero()
 }
 
+// parseJSON parses a JSON object and keeps its attributes in the order of the log.
 func parseJSON(text string) (Line, bool) {
 	var li Line
 	dec := json.NewDecoder(strings.NewReader(text))
@@ -134,15 +142,16 @@
 		if err != nil || !ok || dec.Decode(&val) != nil {
 			return li, false
 		}
-		if !li.set(key, fmt.Sprint(val)) {
+		if !li.setAttr(key, fmt.Sprint(val)) {
 			return li, false
 		}
 	}
 	return li, li.Message != "" && !li.At.IsZero()
 }
 
-// set takes in one attribute and tells whether it has a proper value.
-func (li *Line) set(key, val string) bool {
+// setAttr stores one attribute. It returns false if the time is malformed, and
+// accepts every other value.
+func (li *Line) setAttr(key, val string) bool {
 	switch key {
 	case "time":
 		at, err := time.Parse(time.RFC3339Nano, val)
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// before is how long before a request's first line others may tell its
-	// cause: a loss is noticed some 0.3 s after it, a group formed anew in 2 s.
-	before = 3 * time.Second
-	// after is the same after its last line.
-	after = 500 * time.Millisecond
+	// marginBefore is how long before a request's first line related lines may
+	// name its cause: a failure is detected after some 0.3 s, and a group
+	// re-forms within 2 s.
+	marginBefore = 3 * time.Second
+	// marginAfter is how long after a request's last line related lines count.
+	marginAfter = 500 * time.Millisecond
 )
 
-// OfRequest returns the lines of a request, and those that tell what happened
-// meanwhile to the groups and endpoints that it was sent to and to the daemons
-// that handled it.
+// OfRequest returns the lines of a request, and the lines from the same time about
+// the groups and endpoints that it was sent to and the daemons that handled it.
+// Lines must be sorted by time. The result is nil if no line names the request.
 func OfRequest(lines []Line, id string) []Line {
 	var first, last time.Time
-	touched, sources := make(map[string]bool), make(map[string]bool)
+	targets, sources := make(map[string]bool), make(map[string]bool)
 	content := ""
 	for _, li := range lines {
 		if li.Get("request") != id {
@@ -35,28 +36,29 @@
 		sources[li.Source] = true
 		for _, key := range []string{"group", "endpoint"} {
 			if val := li.Get(key); val != "" {
-				touched[val] = true
+				targets[val] = true
 			}
 		}
 	}
 	if first.IsZero() {
 		return nil
 	}
-	counted := lastView(lines, first)
+	viewIndex := lastView(lines, first)
 	var story []Line
 	for i, li := range lines {
-		meanwhile := !li.At.Before(first.Add(-before)) && !li.At.After(last.Add(after))
-		earlier := !li.At.After(last) && endsServers(&li, content)
-		if li.Get("request") == id || i == counted || earlier || meanwhile && concerns(&li, touched, sources) {
+		meanwhile := !li.At.Before(first.Add(-marginBefore)) && !li.At.After(last.Add(marginAfter))
+		crashed := !li.At.After(last) && reportsCrash(&li, content)
+		if li.Get("request") == id || i == viewIndex || crashed || meanwhile && isRelated(&li, targets, sources) {
 			story = append(story, li)
 		}
 	}
 	return story
 }
 
-// endsServers tells whether a line says that servers ended under a request of that content,
-// or that it is quarantined for it. That may be hours before its last attempt.
-func endsServers(li *Line, content string) bool {
+// reportsCrash reports whether a line records that an endpoint crashed under
+// requests with that content, or that they were quarantined for it. Either may
+// precede the request's last attempt by hours.
+func reportsCrash(li *Line, content string) bool {
 	if content == "" {
 		return false
 	}
@@ -69,8 +71,8 @@
 	return false
 }
 
-// lastView finds the last count of groups before a moment, however long before
-// it stands: it holds until the next one.
+// lastView returns the index of the last view published at or before a time, or
+// -1. Its age does not matter, because a view applies until the next one.
 func lastView(lines []Line, at time.Time) int {
 	last := -1
 	for i, li := range lines {
@@ -81,28 +83,29 @@
 	return last
 }
 
-// concerns tells whether a line is about something that the request touched, or
-// about what a daemon that handled it could know.
-func concerns(li *Line, touched, sources map[string]bool) bool {
-	switch li.part() {
+// isRelated reports whether a line is about a group or endpoint that the request
+// was sent to, or about the state of a daemon that handled it.
+func isRelated(li *Line, targets, sources map[string]bool) bool {
+	switch li.component() {
 	case "front":
 		return false
 	case "steward":
-		// A request that was sent to no group waited for any of them.
-		broken := len(touched) == 0 && li.Message == "steward: group-broken."
-		return li.Message == "steward: view published." || broken || touched[li.Get("group")] || touched[li.Get("vm")]
+		// A request that was sent to no group was waiting for any group, so every
+		// broken group may be the cause.
+		broken := len(targets) == 0 && li.Message == "steward: group-broken."
+		return li.Message == "steward: view published." || broken || targets[li.Get("group")] || targets[li.Get("vm")]
 	case "store", "daemon", "mesh":
 		return sources[li.Source]
 	}
-	if touched[li.Get("group")] || touched[li.Get("endpoint")] {
+	if targets[li.Get("group")] || targets[li.Get("endpoint")] {
 		return true
 	}
 	return sources[li.Source] && (li.Message == "control: configuration in force." || li.Message == "control: following the store.")
 }
 
-// beliefs are the messages that tell what a daemon believes until the next one
-// of the kind. Lines with the same value of the attribute replace each other.
-var beliefs = []struct{ kind, message, attr string }{
+// stateMessages are the messages that set a part of a daemon's state. A line
+// supersedes earlier lines of the same kind with the same value of attr.
+var stateMessages = []struct{ kind, message, attr string }{
 	{"process", "daemon: started.", ""},
 	{"process", "daemon: stopping.", ""},
 	{"configuration", "control: configuration in force.", ""},
@@ -118,29 +121,30 @@
 	{"endpoint", "control: endpoint gone.", "endpoint"},
 }
 
-// recent is how long a belief about a single group or endpoint is worth telling.
-const recent = 10 * time.Second
+// recentWindow is how long a line about a single group or endpoint counts as
+// current state.
+const recentWindow = 10 * time.Second
 
-// Believed returns, for each source, the lines that tell what it believed at a
-// moment.
+// Believed returns, for each source, the lines that describe its state at a time.
+// The result is sorted by source, then by time.
 func Believed(lines []Line, at time.Time) []Line {
 	last := make(map[string]Line)
 	for _, li := range lines {
 		if li.At.After(at) {
 			continue
 		}
-		for _, be := range beliefs {
-			if li.Message != be.message || be.attr != "" && be.kind != "store" && at.Sub(li.At) > recent {
+		for _, sm := range stateMessages {
+			if li.Message != sm.message || sm.attr != "" && sm.kind != "store" && at.Sub(li.At) > recentWindow {
 				continue
 			}
-			last[li.Source+"\x00"+be.kind+"\x00"+li.Get(be.attr)] = li
+			last[li.Source+"\x00"+sm.kind+"\x00"+li.Get(sm.attr)] = li
 		}
 	}
-	var told []Line
+	var state []Line
 	for _, li := range last {
-		told = append(told, li)
+		state = append(state, li)
 	}
-	slices.SortFunc(told, func(one, other Line) int {
+	slices.SortFunc(state, func(one, other Line) int {
 		if diff := strings.Compare(one.Source, other.Source); diff != 0 {
 			return diff
 		}
@@ -149,17 +153,18 @@
 		}
 		return strings.Compare(one.String(), other.String())
 	})
-	return told
+	return state
 }
 
-// Print writes lines, and for a request what they name as its end and cause.
+// Print writes the lines, and below them the outcome of the request with that ID
+// and its likely causes. An empty id prints the lines alone.
 func Print(to io.Writer, lines []Line, id string) error {
 	for _, li := range lines {
 		if _, err := fmt.Fprintln(to, li.String()); err != nil {
 			return err
 		}
 	}
-	for _, text := range ends(lines, id) {
+	for _, text := range outcomes(lines, id) {
 		if _, err := fmt.Fprintln(to, text); err != nil {
 			return err
 		}
@@ -167,9 +172,9 @@
 	return nil
 }
 
-// ends says how a request ended at each daemon that answered it, and what the
-// lines before name as the cause.
-func ends(lines []Line, id string) []string {
+// outcomes describes how the request ended at each daemon that answered it. If it
+// did not succeed, the causes that earlier lines name follow.
+func outcomes(lines []Line, id string) []string {
 	var texts []string
 	for i, li := range lines {
 		if li.Get("request") != id || li.Message != "front: answered." {
@@ -188,10 +193,11 @@
 	return texts
 }
 
-// causes picks the lines that name a cause, newest first.
+// causes describes up to maxCauses distinct causes that the lines name, newest
+// first. The last line must be the one that records the request's outcome.
 func causes(lines []Line, id string) []string {
 	var texts []string
-	counted := !needsRoom(lines)
+	viewNamed := !isCapacityRefusal(lines)
 	quarantined := lines[len(lines)-1].Get("reason") == "quarantined"
 	for _, li := range slices.Backward(lines) {
 		text := ""
@@ -208,8 +214,8 @@
 			text = li.Get("group") + " was broken: " + li.Get("reason")
 		case li.Message == "store: lost.":
 			text = "the store was lost: " + li.Get("cause")
-		case li.Message == "steward: view published." && !counted:
-			counted = true
+		case li.Message == "steward: view published." && !viewNamed:
+			viewNamed = true
 			text = "the steward counted " + li.Get("serving") + " groups that served, " + li.Get("forming") + " that formed, " +
 				li.Get("stranded") + " free VMs"
 		}
@@ -223,11 +229,13 @@
 	return texts
 }
 
-// maxCauses bounds what is named as a cause; the lines are all there.
+// maxCauses limits the causes that are printed for one outcome. All lines are
+// printed in any case.
 const maxCauses = 4
 
-// needsRoom tells whether the last line is a refusal for want of room.
-func needsRoom(lines []Line) bool {
+// isCapacityRefusal reports whether the last line records a refusal for lack of
+// capacity.
+func isCapacityRefusal(lines []Line) bool {
 	reason := lines[len(lines)-1].Get("reason")
 	return reason == "full" || reason == "no-group"
 }
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -12,13 +12,14 @@
 	"github.com/rogpeppe/go-internal/txtar"
 )
 
-// Each file in testdata holds the logs of some daemons in which a request
-// failed, its identifier in the comment, and the story to be told. The logs are
-// cut from real runs, and the story must name the fault that was injected.
-func TestStories(t *testing.T) {
+// Each file in testdata holds excerpts of the logs of several daemons, from a real
+// run in which a request failed, the ID of the request in the archive's comment,
+// and the expected output in the file "story", which must name the injected fault.
+// UPDATE_GOLDEN rewrites the expected output.
+func TestExplainRequest(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no stories: %v", err)
+		t.Fatalf("no files in testdata, error %v", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -36,7 +37,7 @@
 				}
 				read, skipped, err := Read(strings.TrimSuffix(fi.Name, ".log"), bytes.NewReader(fi.Data))
 				if err != nil || skipped > 0 {
-					t.Fatalf("%s: %d lines passed over, error %v", fi.Name, skipped, err)
+					t.Fatalf("%s: %d lines skipped, error %v; want 0, none", fi.Name, skipped, err)
 				}
 				lines = append(lines, read...)
 			}
@@ -53,12 +54,14 @@
 				return
 			}
 			if diff := cmp.Diff(string(ar.Files[want].Data), got.String()); diff != "" {
-				t.Errorf("story (-want +got):\n%s", diff)
+				t.Errorf("output (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
+// Read accepts both log formats and skips a notice of lost lines, a malformed time
+// and a truncated line.
 func TestRead(t *testing.T) {
 	log := strings.Join([]string{
 		`time=2026-05-01T10:00:00.250Z level=INFO msg="front: answered." request=ab outcome=refused cause="a \"b\" = c"`,
@@ -69,19 +72,20 @@
 	}, "\n")
 	lines, skipped, err := Read("one", strings.NewReader(log))
 	if err != nil || skipped != 3 || len(lines) != 2 {
-		t.Fatalf("%d lines read, %d passed over, error %v; want 2, 3, none", len(lines), skipped, err)
+		t.Fatalf("%d lines read, %d skipped, error %v; want 2, 3, none", len(lines), skipped, err)
 	}
 	Sort(lines)
 	if lines[0].Get("request") != "cd" || lines[0].Get("ms") != "7" || lines[1].Get("cause") != `a "b" = c` {
-		t.Errorf("lines: %v", lines)
+		t.Errorf("lines %v, want request cd with ms=7, then the line with the quoted cause", lines)
 	}
 	if got, want := lines[1].String(), `10:00:00.250 one front: answered. request=ab outcome=refused cause="a \"b\" = c"`; got != want {
 		t.Errorf("line %s, want %s", got, want)
 	}
 }
 
-// What a daemon believed at a moment: the newest word of each kind before it.
-func TestBelieved(t *testing.T) {
+// The state at a time consists of the newest line of each kind before it. Lines
+// about a single group or endpoint expire after recentWindow.
+func TestStateAt(t *testing.T) {
 	log := `time=2026-05-01T10:00:00Z level=INFO msg="daemon: started." name=one
 time=2026-05-01T10:00:01Z level=INFO msg="control: configuration in force." version=4
 time=2026-05-01T10:00:02Z level=INFO msg="control: configuration in force." version=9
@@ -112,6 +116,7 @@
 	}
 }
 
+// Every line that Read accepts has a time and a message.
 func FuzzRead(f *testing.F) {
 	f.Add(`time=2026-05-01T10:00:00.250Z level=INFO msg="front: answered." request=ab`)
 	f.Add(`{"time":"2026-05-01T10:00:00.125Z","msg":"x","a":[1,{"b":2}]}`)
@@ -122,7 +127,7 @@
 		}
 		for _, li := range lines {
 			if li.Message == "" || li.At.IsZero() {
-				t.Errorf("a line without time or message: %+v", li)
+				t.Errorf("line %+v has no time or no message", li)
 			}
 		}
 	})
