--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,61 +17,66 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// EngineFaults are the faults an Engine can be told to show.
+// EngineFaults are the faults that an Engine can inject.
 type EngineFaults struct {
-	// Silent accepts connections and never answers.
+	// Silent accepts calls and does not respond to them.
 	Silent bool `json:"silent"`
-	// Leaving reports that the VM will stop soon.
+	// Leaving reports that the VM is about to stop.
 	Leaving bool `json:"leaving"`
-	// Straggle slows every token by this much.
+	// Straggle is an extra delay before every token, in nanoseconds in JSON.
 	Straggle time.Duration `json:"straggle"`
-	// CutAfter cuts streams after that many tokens, once.
+	// CutAfter disconnects one stream after that many tokens. Zero is none.
 	CutAfter int `json:"cut-after"`
-	// Truncate ends the next stream cleanly but without its terminator.
+	// Truncate ends one stream cleanly, but without the usage chunk and the terminator.
 	Truncate bool `json:"truncate"`
-	// Foreign answers the next request with another request's ID.
+	// Foreign answers one request with the ID of another request.
 	Foreign bool `json:"foreign"`
 }
 
-// Engine is the stand-in for the engine on one VM. Set the exported fields
-// before Run.
+// Engine is a test double of the model engine on one VM. Set the exported fields
+// before Run and Handler.
 type Engine struct {
 	VM          string
 	Incarnation string
-	// Platform is the address of the weight store; empty to load without one.
+	// Platform is the address of the weight store. If empty, loads skip it.
 	Platform string
 	LoadTime time.Duration
-	// TokenTime is the pause between tokens, PrefillTime that before the
-	// first, for each 1,000 tokens of the prompt.
+	// TokenTime is the delay before each token. PrefillTime is the delay before the
+	// first token per 1,000 tokens of the prompt.
 	TokenTime   time.Duration
 	PrefillTime time.Duration
-	// Slots is how many requests run at once; others wait. Zero is unlimited.
+	// Slots is the number of requests that run at once; further ones wait. Zero
+	// means no limit.
 	Slots int
-	// IgnoresFencing accepts orders with an old fencing number.
+	// IgnoresFencing makes the engine accept orders with an old fencing token.
 	IgnoresFencing bool
 
-	once   sync.Once
-	mu     sync.Mutex
-	report fleet.Report
-	ring   []endpoint.RingAddress
-	whole  bool
-	faults EngineFaults
-	loads  int
-	served int
-	busy   int
-	slots  chan struct{}
-	// generation changes with each order, so that a load which an order has
-	// overtaken does not report ready.
+	once         sync.Once
+	mu           sync.Mutex
+	report       fleet.Report
+	ring         []endpoint.RingAddress
+	ringComplete bool
+	faults       EngineFaults
+	loads        int
+	completed    int
+	inFlight     int
+	slots        chan struct{}
+	// generation is incremented by each order, so that a load that a later order
+	// has superseded does not report ready.
 	generation int
 	loading    bool
 }
 
 const (
-	ringPause   = 100 * time.Millisecond
-	ringTimeout = 400 * time.Millisecond
-	reportLag   = 200 * time.Millisecond
-	weightPause = 200 * time.Millisecond
-	// reportPath is the path of a member's report.
+	// ringInterval is the time between two polls of the ring, and ringTimeout limits
+	// each.
+	ringInterval = 100 * time.Millisecond
+	ringTimeout  = 400 * time.Millisecond
+	// reportLag is how late a change of the load appears in the report.
+	reportLag = 200 * time.Millisecond
+	// weightRetryInterval is the time between two attempts to load weights.
+	weightRetryInterval = 200 * time.Millisecond
+	// reportPath is the path that serves the member's report.
 	reportPath = "/member"
 )
 
@@ -85,23 +90,26 @@
 	})
 }
 
-// Run keeps an eye on the other members of the ring until ctx ends. A replica
-// dies with any of its members: the leader serves only while all answer.
+// Run polls the other members of the ring until ctx ends. A replica fails with any
+// of its members, so its leader serves only while all members respond. Run returns
+// nil.
 func (en *Engine) Run(ctx context.Context) error {
 	en.init()
 	for ctx.Err() == nil {
-		whole := en.checkRing(ctx)
+		complete := en.checkRing(ctx)
 		en.mu.Lock()
-		en.whole = whole
+		en.ringComplete = complete
 		en.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(ringPause):
+		case <-time.After(ringInterval):
 		}
 	}
 	return nil
 }
 
+// checkRing reports whether this engine leads a ring whose members are all ready
+// under the same group, fencing token and generation.
 func (en *Engine) checkRing(ctx context.Context) bool {
 	en.mu.Lock()
 	ring, mine := en.ring, en.report
@@ -111,29 +119,30 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, ringTimeout)
 	defer cancel()
-	answers := make(chan bool, len(ring))
+	results := make(chan bool, len(ring))
 	for _, ra := range ring[1:] {
 		go func() {
 			re, _, err := (endpoint.Members{}).Probe(ctx, ra.Address)
-			answers <- err == nil && re.Ready && re.Group == mine.Group && re.Fence == mine.Fence && re.Generation == mine.Generation
+			results <- err == nil && re.Ready && re.Group == mine.Group && re.Fence == mine.Fence && re.Generation == mine.Generation
 		}()
 	}
 	for range ring[1:] {
-		if !<-answers {
+		if !<-results {
 			return false
 		}
 	}
 	return true
 }
 
-// Handler serves the engine's API.
+// Handler serves the engine's API. POST /faults calls SetFaults, and GET /counts
+// returns the numbers of weight loads and completed streams.
 func (en *Engine) Handler() http.Handler {
 	en.init()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+reportPath, en.silenced(en.getReport))
-	mux.HandleFunc("POST /orders", en.silenced(en.postOrder))
-	mux.HandleFunc("POST /v1/chat/completions", en.silenced(en.complete))
-	mux.HandleFunc("POST /v1/completions", en.silenced(en.complete))
+	mux.HandleFunc("GET "+reportPath, en.withUnresponsive(en.getReport))
+	mux.HandleFunc("POST /orders", en.withUnresponsive(en.postOrder))
+	mux.HandleFunc("POST /v1/chat/completions", en.withUnresponsive(en.complete))
+	mux.HandleFunc("POST /v1/completions", en.withUnresponsive(en.complete))
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, req *http.Request) {
 		var ef EngineFaults
 		if readJSON(w, req, &ef) {
@@ -146,12 +155,12 @@
 		writeJSON(w, http.StatusOK, struct {
 			Loads  int `json:"loads"`
 			Served int `json:"served"`
-		}{en.loads, en.served})
+		}{en.loads, en.completed})
 	})
 	return mux
 }
 
-// SetFaults replaces the faults shown.
+// SetFaults replaces all injected faults.
 func (en *Engine) SetFaults(ef EngineFaults) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -165,7 +174,8 @@
 	return en.loads
 }
 
-func (en *Engine) silenced(next http.HandlerFunc) http.HandlerFunc {
+// withUnresponsive holds calls without a response while Silent is set.
+func (en *Engine) withUnresponsive(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		en.mu.Lock()
 		silent := en.faults.Silent
@@ -186,6 +196,9 @@
 	writeJSON(w, http.StatusOK, re)
 }
 
+// postOrder applies a join, prepare or release order. It answers 409 to an order for
+// another incarnation or, unless IgnoresFencing is set, an older one than the last.
+// A repeated order is ignored while its load is in progress.
 func (en *Engine) postOrder(w http.ResponseWriter, req *http.Request) {
 	var ob endpoint.OrderBody
 	if !readJSON(w, req, &ob) {
@@ -193,8 +206,8 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	old := ob.Fence < en.report.Fence || ob.Fence == en.report.Fence && ob.Turn < en.report.Generation
-	if ob.Incarnation != en.Incarnation || old && !en.IgnoresFencing {
+	stale := ob.Fence < en.report.Fence || ob.Fence == en.report.Fence && ob.Turn < en.report.Generation
+	if ob.Incarnation != en.Incarnation || stale && !en.IgnoresFencing {
 		http.Error(w, "old order", http.StatusConflict)
 		return
 	}
@@ -205,7 +218,7 @@
 	en.loading = false
 	en.report.Fence, en.report.Generation = ob.Fence, ob.Turn
 	if ob.Kind == endpoint.KindRelease {
-		en.report.Group, en.report.Ready, en.report.Ring, en.ring, en.whole = "", false, nil, nil, false
+		en.report.Group, en.report.Ready, en.report.Ring, en.ring, en.ringComplete = "", false, nil, nil, false
 		return
 	}
 	if ob.Kind == endpoint.KindPrepare {
@@ -216,7 +229,7 @@
 	en.join(ob)
 }
 
-// join follows a join order. Callers hold mu.
+// join applies a join order and loads the model if it is not loaded. Callers hold mu.
 func (en *Engine) join(ob endpoint.OrderBody) {
 	en.report.Group = ob.Group
 	en.report.Role = ob.Role
@@ -235,6 +248,9 @@
 	go en.load(ob, en.generation)
 }
 
+// load requests the weights until the platform grants them, waits for LoadTime and
+// reports the model as loaded, and as ready for a join order, unless a later order
+// has superseded the load.
 func (en *Engine) load(ob endpoint.OrderBody, generation int) {
 	for en.Platform != "" {
 		rsp, err := http.Get("http://" + en.Platform + "/weights/" + ob.Model + "/" + ob.Version)
@@ -244,7 +260,7 @@
 				break
 			}
 		}
-		time.Sleep(weightPause)
+		time.Sleep(weightRetryInterval)
 	}
 	time.Sleep(en.LoadTime)
 	en.mu.Lock()
@@ -257,7 +273,7 @@
 	en.report.Model, en.report.Version, en.report.Ready = ob.Model, ob.Version, ob.Kind == endpoint.KindJoin
 }
 
-// completionBody is what the stand-in reads of a request.
+// completionBody is the part of a completion request that the engine uses.
 type completionBody struct {
 	Model    string `json:"model"`
 	Prompt   string `json:"prompt"`
@@ -269,65 +285,69 @@
 	ContinueLast bool `json:"continue_final_message"`
 }
 
+// defaultTokens is the length of an answer to a request without max_tokens.
 const defaultTokens = 16
 
-// split returns the text to answer and how many tokens of the answer the
-// request already holds.
+// split returns the prompt, and how many tokens of the answer the request already
+// contains as the message to continue.
 func (cb completionBody) split(chat bool) (string, int) {
 	if !chat {
 		return cb.Prompt, 0
 	}
 	messages := cb.Messages
-	given := 0
+	resumed := 0
 	if cb.ContinueLast && len(messages) > 0 {
 		last := messages[len(messages)-1]
 		var text string
 		json.Unmarshal(last.Content, &text)
-		given = len(strings.Fields(text))
+		resumed = len(strings.Fields(text))
 		messages = messages[:len(messages)-1]
 	}
 	prompt := ""
 	for _, me := range messages {
 		prompt += me.Role + string(me.Content)
 	}
-	return prompt, given
+	return prompt, resumed
 }
 
-// Word returns the stand-in's i-th word of the answer to prompt. It depends
-// on nothing else, so that an answer resumed elsewhere can be checked whole.
+// Word returns token i of the answer to a prompt. It depends on nothing else, so that
+// tests can check a complete answer that was resumed on another replica.
 func Word(prompt string, i int) string {
 	hs := fnv.New32a()
 	fmt.Fprintf(hs, "%s/%d", prompt, i)
 	return fmt.Sprintf("w%d-%06x ", i, hs.Sum32()&0xffffff)
 }
 
+// refuse answers with 503 and the verdict not-run.
 func (en *Engine) refuse(w http.ResponseWriter, reason string) {
 	w.Header().Set(endpoint.HeaderVerdict, string(verdict.NotRun))
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
+// complete serves a completion request as the leader of a complete ring, and refuses
+// requests for another group or fencing token.
 func (en *Engine) complete(w http.ResponseWriter, req *http.Request) {
 	en.mu.Lock()
-	re, whole, ef := en.report, en.whole, en.faults
+	re, complete, ef := en.report, en.ringComplete, en.faults
 	en.mu.Unlock()
-	meant := req.Header.Get(endpoint.HeaderGroup) == re.Group && req.Header.Get(endpoint.HeaderFence) == strconv.FormatUint(re.Fence, 10)
-	if !meant || !whole {
+	addressed := req.Header.Get(endpoint.HeaderGroup) == re.Group && req.Header.Get(endpoint.HeaderFence) == strconv.FormatUint(re.Fence, 10)
+	if !addressed || !complete {
 		en.refuse(w, "not serving this group")
 		return
 	}
-	raw, _ := io.ReadAll(io.LimitReader(req.Body, maxStandinBody))
+	raw, _ := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
 	var cb completionBody
 	if err := json.Unmarshal(raw, &cb); err != nil {
 		w.Header().Set(endpoint.HeaderRequestID, req.Header.Get(endpoint.HeaderRequestID))
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !en.enter(req.Context()) {
+	if !en.acquireSlot(req.Context()) {
 		return
 	}
-	defer en.exit()
-	en.work(1)
-	defer en.work(-1)
+	defer en.releaseSlot()
+	en.addInFlight(1)
+	defer en.addInFlight(-1)
 	requestID := req.Header.Get(endpoint.HeaderRequestID)
 	if ef.Foreign {
 		requestID = "another-request"
@@ -338,8 +358,10 @@
 	en.stream(w, req, cb, ef)
 }
 
-func (en *Engine) enter(ctx context.Context) bool {
-	en.count(0, 1)
+// acquireSlot counts a request and waits for a free slot. It returns false if ctx
+// ends first; callers call releaseSlot otherwise.
+func (en *Engine) acquireSlot(ctx context.Context) bool {
+	en.adjustLoad(0, 1)
 	if en.slots == nil {
 		return true
 	}
@@ -347,27 +369,28 @@
 	case en.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
-		en.count(0, -1)
+		en.adjustLoad(0, -1)
 		return false
 	}
 }
 
-// work counts what runs at this moment, for tests.
-func (en *Engine) work(num int) {
+// addInFlight changes the number that InFlight returns, without the report's lag.
+func (en *Engine) addInFlight(num int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.busy += num
+	en.inFlight += num
 }
 
-func (en *Engine) exit() {
+func (en *Engine) releaseSlot() {
 	if en.slots != nil {
 		<-en.slots
 	}
-	en.count(0, -1)
+	en.adjustLoad(0, -1)
 }
 
-// count changes the load reported, late as with real engines.
-func (en *Engine) count(tokens int64, requests int) {
+// adjustLoad changes the reported load after reportLag, because real engines report
+// their load late, too.
+func (en *Engine) adjustLoad(tokens int64, requests int) {
 	time.AfterFunc(reportLag, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
@@ -376,34 +399,36 @@
 	})
 }
 
+// stream sends the answer as server-sent events and applies the faults of streams. It
+// disconnects if the ring becomes incomplete.
 func (en *Engine) stream(w http.ResponseWriter, req *http.Request, cb completionBody, ef EngineFaults) {
 	chat := strings.Contains(req.URL.Path, "chat")
-	prompt, given := cb.split(chat)
-	total := given + cb.MaxTokens
+	prompt, resumed := cb.split(chat)
+	total := resumed + cb.MaxTokens
 	if cb.MaxTokens == 0 {
-		total = max(given, defaultTokens)
+		total = max(resumed, defaultTokens)
 	}
 	tokens := int64(len(prompt)/4 + total)
-	en.count(tokens, 0)
-	defer en.count(-tokens, 0)
+	en.adjustLoad(tokens, 0)
+	defer en.adjustLoad(-tokens, 0)
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
 	time.Sleep(en.PrefillTime * time.Duration(len(prompt)/4) / 1000)
-	for i := given; i < total; i++ {
+	for i := resumed; i < total; i++ {
 		time.Sleep(en.TokenTime + ef.Straggle)
-		if ef.CutAfter > 0 && i-given == ef.CutAfter {
+		if ef.CutAfter > 0 && i-resumed == ef.CutAfter {
 			ef.CutAfter = 0
 			en.SetFaults(ef)
 			panic(http.ErrAbortHandler)
 		}
-		if req.Context().Err() != nil || !en.isWhole() {
+		if req.Context().Err() != nil || !en.isRingComplete() {
 			panic(http.ErrAbortHandler)
 		}
 		writeChunk(w, chat, Word(prompt, i), i == total-1)
 		flusher.Flush()
 	}
 	en.mu.Lock()
-	en.served++
+	en.completed++
 	truncate := en.faults.Truncate
 	en.faults.Truncate = false
 	en.mu.Unlock()
@@ -414,12 +439,13 @@
 		len(prompt)/4, total, len(prompt)/4+total)
 }
 
-func (en *Engine) isWhole() bool {
+func (en *Engine) isRingComplete() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.whole
+	return en.ringComplete
 }
 
+// writeChunk writes one token as an event of a chat or a text completion.
 func writeChunk(w io.Writer, chat bool, text string, last bool) {
 	finish := "null"
 	if last {
@@ -432,23 +458,23 @@
 	fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"text\":%q,\"finish_reason\":%s}]}\n\n", text, finish)
 }
 
-// Leads tells whether the engine leads a whole ring.
+// Leads reports whether the engine leads a complete ring, that is, serves requests.
 func (en *Engine) Leads() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.whole
+	return en.ringComplete
 }
 
-// Served returns how many completions ended whole.
+// Served returns how many streams completed.
 func (en *Engine) Served() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.served
+	return en.completed
 }
 
-// Busy returns how many completions run now.
+// Busy returns how many completion requests run now.
 func (en *Engine) Busy() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.busy
+	return en.inFlight
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the systems around corianderhub:
-// the platform, a model engine's member and a plain service. Each takes
-// faults at run time through POST /faults.
+// Package standin implements in-memory test doubles of the systems around
+// corianderhub: the platform, the model engine on one VM and a plain service.
+// Their faults can be set at run time through POST /faults.
 package standin
 
 import (
@@ -17,29 +17,30 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// PlatformFaults are the faults a Platform can be told to show.
+// PlatformFaults are the faults that a Platform can inject.
 type PlatformFaults struct {
 	StoreFaults
-	// Slow delays every call.
+	// Slow is a delay before every call, in nanoseconds in JSON.
 	Slow time.Duration `json:"slow"`
-	// StaleList freezes the list of VMs.
+	// StaleList makes the list of VMs stay as it was when the fault was set.
 	StaleList bool `json:"stale-list"`
 }
 
-// Platform is the stand-in for the platform's API: a Store, the list of VMs
-// and the weight store. Make it with NewPlatform.
+// Platform is a test double of the platform's API: the key-value store, the list of
+// VMs and the weight store. Create it with NewPlatform.
 type Platform struct {
 	Store *Store
 
-	mu      sync.Mutex
-	vms     []platform.VM
-	frozen  []platform.VM
-	faults  PlatformFaults
-	weights *rate.Limiter
+	mu       sync.Mutex
+	vms      []platform.VM
+	staleVMs []platform.VM
+	faults   PlatformFaults
+	weights  *rate.Limiter
 }
 
-// NewPlatform returns a platform with that list of VMs, whose weight store
-// allows so many loads a minute; zero means no limit.
+// NewPlatform returns a platform with the given VMs and an empty key-value store.
+// The weight store allows weightsPerMinute loads per minute, with bursts of the
+// same size; zero means no limit.
 func NewPlatform(vms []platform.VM, weightsPerMinute int) *Platform {
 	pl := &Platform{Store: NewStore(clock.System{}), vms: vms, weights: rate.NewLimiter(rate.Inf, 1)}
 	if weightsPerMinute > 0 {
@@ -48,18 +49,18 @@
 	return pl
 }
 
-// SetFaults replaces the faults shown.
+// SetFaults replaces all injected faults.
 func (pl *Platform) SetFaults(pf PlatformFaults) {
 	pl.Store.SetFaults(pf.StoreFaults)
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	if pf.StaleList && !pl.faults.StaleList {
-		pl.frozen = append([]platform.VM(nil), pl.vms...)
+		pl.staleVMs = append([]platform.VM(nil), pl.vms...)
 	}
 	pl.faults = pf
 }
 
-// SetVM adds a VM or changes the one of that name; an empty state removes it.
+// SetVM adds a VM or replaces the one of the same name. An empty state removes it.
 func (pl *Platform) SetVM(vm platform.VM) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
@@ -75,12 +76,14 @@
 	pl.vms = vms
 }
 
-// Handler serves the platform's API.
+// Handler serves the platform's API. POST /vms calls SetVM, POST /faults calls
+// SetFaults and GET /calls returns the number of store calls by kind; injected
+// faults do not affect these three.
 func (pl *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc(emulator.KeyValuePaths, pl.faulty(emulator.KeyValueHandler(pl.Store).ServeHTTP))
-	mux.HandleFunc("GET /vms", pl.faulty(pl.listVMs))
-	mux.HandleFunc("GET /weights/{model}/{version}", pl.faulty(pl.weight))
+	mux.HandleFunc(emulator.KeyValuePaths, pl.withFaults(emulator.KeyValueHandler(pl.Store).ServeHTTP))
+	mux.HandleFunc("GET /vms", pl.withFaults(pl.listVMs))
+	mux.HandleFunc("GET /weights/{model}/{version}", pl.withFaults(pl.getWeights))
 	mux.HandleFunc("POST /vms", func(w http.ResponseWriter, req *http.Request) {
 		var vm platform.VM
 		if readJSON(w, req, &vm) {
@@ -97,7 +100,8 @@
 	return mux
 }
 
-func (pl *Platform) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies Slow and Down before next.
+func (pl *Platform) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		pl.mu.Lock()
 		pf := pl.faults
@@ -116,18 +120,19 @@
 	defer pl.mu.Unlock()
 	vms := pl.vms
 	if pl.faults.StaleList {
-		vms = pl.frozen
+		vms = pl.staleVMs
 	}
-	picked := []platform.VM{}
+	matching := []platform.VM{}
 	for _, vm := range vms {
 		if dc := req.FormValue("data-center"); dc == "" || dc == vm.DataCenter {
-			picked = append(picked, vm)
+			matching = append(matching, vm)
 		}
 	}
-	writeJSON(w, http.StatusOK, picked)
+	writeJSON(w, http.StatusOK, matching)
 }
 
-func (pl *Platform) weight(w http.ResponseWriter, _ *http.Request) {
+// getWeights answers a load of weights with a placeholder, or 429 above the limit.
+func (pl *Platform) getWeights(w http.ResponseWriter, _ *http.Request) {
 	if !pl.weights.Allow() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many loads", http.StatusTooManyRequests)
@@ -136,10 +141,13 @@
 	io.WriteString(w, "weights")
 }
 
-const maxStandinBody = 8 << 20
+// maxBodyBytes limits the request bodies that the test doubles read.
+const maxBodyBytes = 8 << 20
 
+// readJSON decodes the request's body. If that fails, it answers with status 400 and
+// returns false.
 func readJSON(w http.ResponseWriter, req *http.Request, into any) bool {
-	err := json.NewDecoder(io.LimitReader(req.Body, maxStandinBody)).Decode(into)
+	err := json.NewDecoder(io.LimitReader(req.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -11,27 +11,28 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// ServiceFaults are the faults a Service can be told to show.
+// ServiceFaults are the faults that a Service can inject.
 type ServiceFaults struct {
-	// Refuse answers that calls were not run.
+	// Refuse answers every call with 503 and the verdict not-run, without running it.
 	Refuse bool `json:"refuse"`
-	// LoseAnswers runs that many calls and cuts the connection.
+	// LoseAnswers is the number of calls that run and whose connection is closed
+	// without a response.
 	LoseAnswers int `json:"lose-answers"`
-	// Slow delays every answer.
+	// Slow is a delay before every response, in nanoseconds in JSON.
 	Slow time.Duration `json:"slow"`
-	// Silent runs calls and never answers.
+	// Silent runs calls without responding to them.
 	Silent bool `json:"silent"`
 }
 
-// Service is the stand-in for a plain service. It counts how often each
-// idempotency key ran.
+// Service is a test double of a plain service. It counts how many times it ran each
+// idempotency key. Its zero value is ready for use.
 type Service struct {
 	mu     sync.Mutex
 	runs   map[string]int
 	faults ServiceFaults
 }
 
-// Runs returns how often each key ran.
+// Runs returns how many times each idempotency key ran.
 func (se *Service) Runs() map[string]int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -42,14 +43,15 @@
 	return runs
 }
 
-// SetFaults replaces the faults shown.
+// SetFaults replaces all injected faults.
 func (se *Service) SetFaults(sf ServiceFaults) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.faults = sf
 }
 
-// Handler serves the service's API: any path runs.
+// Handler serves the service's API. Calls to any path run, except POST /faults, which
+// calls SetFaults, and GET /runs, which returns Runs.
 func (se *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", func(w http.ResponseWriter, req *http.Request) {
@@ -63,8 +65,9 @@
 	return mux
 }
 
+// run counts a call, applies the injected faults and echoes path, run and size.
 func (se *Service) run(w http.ResponseWriter, req *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxStandinBody))
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -14,30 +14,35 @@
 	"corianderhub.dev/corianderhub/internal/platform"
 )
 
-// StoreFaults are the faults a Store can be told to show.
+// StoreFaults are the faults that a Store can inject.
 type StoreFaults struct {
-	// Down refuses every call.
+	// Down fails every call with platform.ErrUnavailable.
 	Down bool `json:"down"`
-	// LoseAnswers is how many writes take effect without an answer.
+	// LoseAnswers is the number of writes that take effect and fail with
+	// platform.ErrUnknown.
 	LoseAnswers int `json:"lose-answers"`
-	// LoseWrites is how many writes fail without effect or answer.
+	// LoseWrites is the number of puts that fail with platform.ErrUnknown and have
+	// no effect.
 	LoseWrites int `json:"lose-writes"`
 }
 
+// storedValue is the value of a key, with the revision of its last write and the ID of
+// its lease, if any.
 type storedValue struct {
 	value    []byte
 	revision uint64
 	lease    string
 }
 
+// lease is a granted lease. It lapses at expires unless it is renewed.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// Store is the stand-in for the key-value service, in memory. It implements
-// platform.Store for tests without sockets; Platform serves it over HTTP.
-// Make it with NewStore.
+// Store is an in-memory test double of the platform's key-value service. It
+// implements platform.Store for tests without sockets; Platform serves it over
+// HTTP. Create it with NewStore.
 type Store struct {
 	clock clock.Clock
 
@@ -52,20 +57,20 @@
 
 var _ platform.Store = (*Store)(nil)
 
-// NewStore returns an empty store.
+// NewStore returns an empty store whose leases expire by the given clock.
 func NewStore(cl clock.Clock) *Store {
 	return &Store{clock: cl, values: make(map[string]storedValue), leases: make(map[string]lease),
 		changed: make(chan struct{}), calls: make(map[string]int)}
 }
 
-// SetFaults replaces the faults shown.
+// SetFaults replaces all injected faults.
 func (st *Store) SetFaults(sf StoreFaults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.faults = sf
 }
 
-// Calls returns the number of calls by kind since the start.
+// Calls returns the number of calls since the store was created, by kind.
 func (st *Store) Calls() map[string]int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -76,13 +81,14 @@
 	return calls
 }
 
-// begin counts a call and lets leases lapse. Callers hold mu.
-func (st *Store) begin(kind string) error {
+// beginCall counts a call and drops expired leases. It returns
+// platform.ErrUnavailable if the store is down. Callers hold mu.
+func (st *Store) beginCall(kind string) error {
 	st.calls[kind]++
 	now := st.clock.Now()
 	for id, le := range st.leases {
 		if now.After(le.expires) {
-			st.drop(id)
+			st.dropLease(id)
 		}
 	}
 	if st.faults.Down {
@@ -91,25 +97,29 @@
 	return nil
 }
 
-func (st *Store) drop(id string) {
+// dropLease deletes a lease and all keys attached to it. Callers hold mu.
+func (st *Store) dropLease(id string) {
 	delete(st.leases, id)
 	for key, sv := range st.values {
 		if sv.lease == id {
 			delete(st.values, key)
-			st.bump()
+			st.bumpRevision()
 		}
 	}
 }
 
-func (st *Store) bump() uint64 {
+// bumpRevision increments the store's revision, wakes all watches and returns the
+// new revision. Callers hold mu.
+func (st *Store) bumpRevision() uint64 {
 	st.revision++
 	close(st.changed)
 	st.changed = make(chan struct{})
 	return st.revision
 }
 
-// lost tells whether the answer to a write that took effect is lost.
-func (st *Store) lost() error {
+// responseError returns platform.ErrUnknown if the response to a write that took
+// effect is to be lost. Callers hold mu.
+func (st *Store) responseError() error {
 	if st.faults.LoseAnswers == 0 {
 		return nil
 	}
@@ -121,7 +131,7 @@
 func (st *Store) Get(_ context.Context, key string) (platform.Entry, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("get"); err != nil {
+	if err := st.beginCall("get"); err != nil {
 		return platform.Entry{}, err
 	}
 	sv := st.values[key]
@@ -132,12 +142,14 @@
 func (st *Store) List(_ context.Context, prefix string) ([]platform.Entry, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("list"); err != nil {
+	if err := st.beginCall("list"); err != nil {
 		return nil, err
 	}
 	return st.entries(prefix, 0), nil
 }
 
+// entries returns the entries with a prefix that were written after a revision, sorted
+// by key. Callers hold mu.
 func (st *Store) entries(prefix string, after uint64) []platform.Entry {
 	entries := []platform.Entry{}
 	for key, sv := range st.values {
@@ -153,11 +165,11 @@
 func (st *Store) Put(_ context.Context, key string, value []byte, ifRev uint64, leaseID string) (uint64, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("put"); err != nil {
+	if err := st.beginCall("put"); err != nil {
 		return 0, err
 	}
 	if len(value) > platform.MaxValueBytes {
-		return 0, eris.Errorf("%s: %d bytes are too large", key, len(value))
+		return 0, eris.Errorf("%s: value of %d bytes exceeds the limit", key, len(value))
 	}
 	if st.faults.LoseWrites > 0 {
 		st.faults.LoseWrites--
@@ -167,24 +179,24 @@
 	if st.values[key].revision != ifRev || leaseID != "" && !leased {
 		return 0, platform.ErrConflict
 	}
-	rev := st.bump()
+	rev := st.bumpRevision()
 	st.values[key] = storedValue{value: append([]byte(nil), value...), revision: rev, lease: leaseID}
-	return rev, st.lost()
+	return rev, st.responseError()
 }
 
 // Delete implements platform.Store.
 func (st *Store) Delete(_ context.Context, key string, ifRev uint64) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("delete"); err != nil {
+	if err := st.beginCall("delete"); err != nil {
 		return err
 	}
 	if st.values[key].revision != ifRev {
 		return platform.ErrConflict
 	}
 	delete(st.values, key)
-	st.bump()
-	return st.lost()
+	st.bumpRevision()
+	return st.responseError()
 }
 
 // Watch implements platform.Store.
@@ -193,7 +205,7 @@
 	defer cancel()
 	for {
 		st.mu.Lock()
-		if err := st.begin("watch"); err != nil {
+		if err := st.beginCall("watch"); err != nil {
 			st.mu.Unlock()
 			return err
 		}
@@ -215,10 +227,10 @@
 func (st *Store) Grant(_ context.Context, ttl time.Duration) (string, error) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("lease"); err != nil {
+	if err := st.beginCall("lease"); err != nil {
 		return "", err
 	}
-	id := strconv.FormatUint(st.bump(), 10)
+	id := strconv.FormatUint(st.bumpRevision(), 10)
 	st.leases[id] = lease{ttl: ttl, expires: st.clock.Now().Add(ttl)}
 	return id, nil
 }
@@ -227,7 +239,7 @@
 func (st *Store) Renew(_ context.Context, id string) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("lease"); err != nil {
+	if err := st.beginCall("lease"); err != nil {
 		return err
 	}
 	le, ok := st.leases[id]
@@ -243,9 +255,9 @@
 func (st *Store) Revoke(_ context.Context, id string) error {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if err := st.begin("lease"); err != nil {
+	if err := st.beginCall("lease"); err != nil {
 		return err
 	}
-	st.drop(id)
+	st.dropLease(id)
 	return nil
 }
