--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -10,75 +10,79 @@
 // Kind is a kind of request.
 type Kind string
 
-// The kinds of requests that the clients send, by the prefix of their route.
+// The kinds of requests that clients send, named after the prefix of their route.
 const (
 	Draft   Kind = "draft"
 	Slot    Kind = "slot"
 	Confirm Kind = "confirm"
 )
 
-// Outcome is what a client has seen of one request.
+// Outcome is the result of one request as its client observed it.
 type Outcome struct {
 	ID     string
 	Kind   Kind
 	Daemon int
-	// Begun and Ended are when the request was sent and when its answer ended.
-	Begun, Ended time.Time
-	// Sent is set once the request may have been read.
+	// Start is the time right before the request was sent. End is when the response
+	// ended or failed.
+	Start, End time.Time
+	// Sent is set once the request has been written, so that the daemon may have
+	// read it.
 	Sent   bool
 	Status int
 	Body   string
-	// Cut is set if the answer, or the connection without one, broke off, and GaveUp
-	// if the client itself did that because its patience was over.
-	Cut, GaveUp bool
+	// Disconnected is set if the connection broke before the end of the response.
+	// TimedOut is set if the client caused that itself, after clientTimeout.
+	Disconnected, TimedOut bool
 }
 
-// span is a time for which something was so.
+// span is a period of time. A zero end means that it has not ended.
 type span struct{ from, to time.Time }
 
 func (sp span) overlaps(from, to time.Time) bool {
 	return sp.from.Before(to) && (sp.to.IsZero() || sp.to.After(from))
 }
 
-// Checker collects what is seen from outside and which promises that breaks. Its
-// methods are safe for use by several goroutines.
+// Checker records what clients and servers observe and collects the guarantees that
+// this shows to be violated. Its methods are safe for concurrent use.
 type Checker struct {
-	// Want returns the whole body of a request's answer.
+	// Want returns the complete body of the response to a request. It must be set.
 	Want func(kind Kind, id string) string
 
-	mu         sync.Mutex
-	outcomes   map[string]Outcome
-	counts     map[string]int
-	unplanned  []span
-	stops      map[int][]span
-	newest     map[string]int
-	violations []string
+	mu              sync.Mutex
+	outcomes        map[string]Outcome
+	counts          map[string]int
+	unplannedFaults []span
+	stops           map[int][]span
+	// newestVersion is the newest configuration version served, by process.
+	newestVersion map[string]int
+	violations    []string
 }
 
-// maxViolations bounds what is kept; the first ones tell the cause.
+// maxViolations limits the violations kept. The first ones show the cause.
 const maxViolations = 50
 
-// Violate notes that a promise was broken.
-func (ch *Checker) Violate(format string, args ...any) {
+// ReportViolation records that a guarantee was violated.
+func (ch *Checker) ReportViolation(format string, args ...any) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	ch.violate(format, args...)
+	ch.reportViolation(format, args...)
 }
 
-func (ch *Checker) violate(format string, args ...any) {
+// reportViolation is ReportViolation for callers that hold mu.
+func (ch *Checker) reportViolation(format string, args ...any) {
 	if len(ch.violations) < maxViolations {
 		ch.violations = append(ch.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Violations returns all that were found.
+// Violations returns the first maxViolations violations.
 func (ch *Checker) Violations() []string {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	return append([]string(nil), ch.violations...)
 }
 
-// Counts returns how many requests ended how.
+// Counts returns the number of requests by kind, status and whether they disconnected.
 func (ch *Checker) Counts() map[string]int {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -89,21 +93,23 @@
 	return counts
 }
 
-// Fault notes an unplanned fault from now on; the function returned ends it.
-func (ch *Checker) Fault() (end func()) {
+// BeginFault records the start of an unplanned fault. The returned function records
+// its end.
+func (ch *Checker) BeginFault() (end func()) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	at := len(ch.unplanned)
-	ch.unplanned = append(ch.unplanned, span{from: time.Now()})
+	at := len(ch.unplannedFaults)
+	ch.unplannedFaults = append(ch.unplannedFaults, span{from: time.Now()})
 	return func() {
 		ch.mu.Lock()
 		defer ch.mu.Unlock()
-		ch.unplanned[at].to = time.Now()
+		ch.unplannedFaults[at].to = time.Now()
 	}
 }
 
-// Stopping notes that a daemon is told to stop; the function returned ends that.
-func (ch *Checker) Stopping(daemon int) (end func()) {
+// BeginStop records the start of a planned stop of a daemon. The returned function
+// records its end.
+func (ch *Checker) BeginStop(daemon int) (end func()) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	if ch.stops == nil {
@@ -118,11 +124,13 @@
 	}
 }
 
-// settleTime is how long after an unplanned fault its effects are excused.
+// settleTime is how long after the end of an unplanned fault its effects are excused.
 const settleTime = 4 * time.Second
 
-func (ch *Checker) calm(from, to time.Time) bool {
-	for _, sp := range ch.unplanned {
+// faultFree reports whether no unplanned fault could have had an effect in a period.
+// Callers hold mu.
+func (ch *Checker) faultFree(from, to time.Time) bool {
+	for _, sp := range ch.unplannedFaults {
 		if sp.overlaps(from.Add(-settleTime), to) {
 			return false
 		}
@@ -130,64 +138,70 @@
 	return true
 }
 
-// Ended takes in what a client has seen.
-func (ch *Checker) Ended(oc Outcome) {
+// RecordOutcome records the outcome of a request. It reports a violation if the body
+// is not that of the request, or if a planned stop alone disconnected it.
+func (ch *Checker) RecordOutcome(oc Outcome) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
 	if ch.outcomes == nil {
 		ch.outcomes, ch.counts = make(map[string]Outcome), make(map[string]int)
 	}
 	ch.outcomes[oc.ID] = oc
-	ch.counts[fmt.Sprintf("%s %d cut=%t", oc.Kind, oc.Status, oc.Cut)]++
+	ch.counts[fmt.Sprintf("%s %d cut=%t", oc.Kind, oc.Status, oc.Disconnected)]++
 	want := ch.Want(oc.Kind, oc.ID)
 	switch {
-	case oc.Status == 200 && !oc.Cut && oc.Body != want:
-		ch.violate("answer of %s (%s) is not its own or not whole: %q", oc.ID, oc.Kind, oc.Body)
-	case oc.Status == 200 && oc.Cut && !strings.HasPrefix(want, oc.Body):
-		ch.violate("what came of the answer of %s (%s) is not its own: %q", oc.ID, oc.Kind, oc.Body)
+	case oc.Status == 200 && !oc.Disconnected && oc.Body != want:
+		ch.reportViolation("%s (%s): response with status 200 is mismatched or incomplete: %q", oc.ID, oc.Kind, oc.Body)
+	case oc.Status == 200 && oc.Disconnected && !strings.HasPrefix(want, oc.Body):
+		ch.reportViolation("%s (%s): partial response is mismatched: %q", oc.ID, oc.Kind, oc.Body)
 	}
-	if !oc.Cut || oc.GaveUp || !oc.Sent || !ch.calm(oc.Begun, oc.Ended) {
+	if !oc.Disconnected || oc.TimedOut || !oc.Sent || !ch.faultFree(oc.Start, oc.End) {
 		return
 	}
 	for _, sp := range ch.stops[oc.Daemon] {
-		if sp.overlaps(oc.Begun, oc.Ended) {
-			ch.violate("a planned stop of daemon %d cut %s (%s) off", oc.Daemon, oc.ID, oc.Kind)
+		if sp.overlaps(oc.Start, oc.End) {
+			ch.reportViolation("planned stop of daemon %d disconnected %s (%s)", oc.Daemon, oc.ID, oc.Kind)
 			return
 		}
 	}
 }
 
-// Limited notes what a server got in its busiest span since it named a limit of one request a
-// second. A daemon that was killed, stood still or was cut off meanwhile is excused.
-func (ch *Checker) Limited(server string, requests int, since time.Time) {
+// CheckLimit checks the number of requests that a server received in its busiest
+// limitWindow after it announced a limit of one request per second. A count above
+// maxLimitedRequests is excused if an unplanned fault, such as a killed or paused
+// daemon, had an effect since then.
+func (ch *Checker) CheckLimit(server string, requests int, since time.Time) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	if requests > mostLimited && ch.calm(since, time.Now()) {
-		ch.violate("%s named a limit of one request a second and got %d in %v, %d allowed", server, requests, needWindow, mostLimited)
+	if requests > maxLimitedRequests && ch.faultFree(since, time.Now()) {
+		ch.reportViolation("server %s announced a limit of one request per second and received %d in %v, want at most %d", server, requests, limitWindow, maxLimitedRequests)
 	}
 }
 
-// Served notes that a process was seen to serve, or not to know, a route that came
-// with a version of the configuration.
-func (ch *Checker) Served(process string, version int, known bool) {
+// RecordVersion records whether a process served the route that a version of the
+// configuration adds. It reports a violation if the process served that version or a
+// newer one before and does not serve it now.
+func (ch *Checker) RecordVersion(process string, version int, known bool) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
-	if ch.newest == nil {
-		ch.newest = make(map[string]int)
+	if ch.newestVersion == nil {
+		ch.newestVersion = make(map[string]int)
 	}
 	if known {
-		ch.newest[process] = max(ch.newest[process], version)
+		ch.newestVersion[process] = max(ch.newestVersion[process], version)
 		return
 	}
-	if ch.newest[process] >= version {
-		ch.violate("process %s knew version %d of the configuration and lost %d", process, ch.newest[process], version)
+	if ch.newestVersion[process] >= version {
+		ch.reportViolation("%s served configuration version %d and later did not serve version %d", process, ch.newestVersion[process], version)
 	}
 }
 
-// notRunStatuses promise that a request has not run and never will.
+// notRunStatuses are the statuses that guarantee that a request has not run and
+// will not run.
 var notRunStatuses = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-// Finish checks the outcomes against how often each request ran.
+// Finish checks the outcomes of requests that are not repeatable against how many
+// times each request ID ran.
 func (ch *Checker) Finish(runs map[string]int) {
 	ch.mu.Lock()
 	defer ch.mu.Unlock()
@@ -196,13 +210,13 @@
 			continue
 		}
 		if runs[id] > 1 {
-			ch.violate("%s must not repeat and ran %d times", id, runs[id])
+			ch.reportViolation("%s is not repeatable and ran %d times", id, runs[id])
 		}
 		if notRunStatuses[oc.Status] && runs[id] > 0 {
-			ch.violate("%s was refused with %d as not run, and ran", id, oc.Status)
+			ch.reportViolation("%s was refused with status %d, which means not run, but ran", id, oc.Status)
 		}
 		if oc.Status == 200 && runs[id] == 0 {
-			ch.violate("%s was answered and never ran", id)
+			ch.reportViolation("%s was answered with status 200 but never ran", id)
 		}
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// clientPatience bounds a request, as callers do.
-	clientPatience = 8 * time.Second
-	// addressLife is how long clients keep an answer to where to connect: three
-	// times what daemons state, as some callers do.
-	addressLife = 3 * time.Second
-	// draftEvents is the length of a stream; with the emulator's time between two
-	// events it lasts for a second.
+	// clientTimeout limits a request, as callers do.
+	clientTimeout = 8 * time.Second
+	// addressTTL is how long clients use a resolved list of addresses: three times
+	// the TTL that daemons return, as some callers do.
+	addressTTL = 3 * time.Second
+	// draftEvents is the number of events of a stream. With eventInterval between
+	// two events a stream takes one second.
 	draftEvents = 20
-	// thinkTime is the mean pause of a client between two requests.
+	// thinkTime is a client's mean pause between two requests.
 	thinkTime = 40 * time.Millisecond
 )
 
-// client sends one request after the other. It keeps connections open and goes on
-// using them until the process at the other end is gone.
+// client sends one request after the other. It keeps connections open and reuses them
+// until the process at the other end is gone.
 type client struct {
 	so   *Soak
 	num  int
 	rnd  *rand.Rand
 	http *http.Client
-	// daemons are where it may connect, until expiry.
+	// daemons are the indexes of the daemons that it may connect to, valid until
+	// expiry.
 	daemons []int
 	expiry  time.Time
 	sent    int
@@ -46,6 +47,7 @@
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}}}
 }
 
+// run sends requests until ctx ends and waits for the last one.
 func (cl *client) run(ctx context.Context) {
 	defer cl.http.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -53,21 +55,22 @@
 			cl.resolve(ctx)
 		}
 		if len(cl.daemons) > 0 {
-			// What is under way ends after the run's end: its outcome counts.
+			// Requests in flight continue after ctx ends, so that their outcome counts.
 			cl.send(context.WithoutCancel(ctx))
 		}
 		cl.so.pause(ctx, time.Duration(cl.rnd.ExpFloat64()*float64(thinkTime)))
 	}
 }
 
-// resolve asks daemons where to connect, and keeps the last answer without one.
+// resolve requests the current addresses from a random daemon. If that fails, the
+// client keeps the previous list.
 func (cl *client) resolve(ctx context.Context) {
 	ps := pick(cl.rnd, cl.so.daemons)
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, platform.ResolveURL(ps.ip+":18083", emulator.Host, "hall-a"), nil)
 	if err != nil {
-		cl.so.check.Violate("client: %v", err)
+		cl.so.check.ReportViolation("client: %v", err)
 		return
 	}
 	rsp, err := cl.http.Do(req)
@@ -79,7 +82,7 @@
 	if json.NewDecoder(rsp.Body).Decode(&an) != nil || len(an.Addresses) == 0 {
 		return
 	}
-	cl.daemons, cl.expiry = nil, time.Now().Add(addressLife)
+	cl.daemons, cl.expiry = nil, time.Now().Add(addressTTL)
 	for _, addr := range an.Addresses {
 		for num, ps := range cl.so.daemons {
 			if strings.HasPrefix(addr, ps.ip+":") {
@@ -89,25 +92,25 @@
 	}
 }
 
-// send sends one request and tells the checker what came of it.
+// send sends one request and records its outcome.
 func (cl *client) send(ctx context.Context) {
 	cl.sent++
 	kind := pick(cl.rnd, []Kind{Draft, Draft, Slot, Confirm})
-	oc := Outcome{ID: fmt.Sprintf("%s-%d-%d", kind, cl.num, cl.sent), Kind: kind, Daemon: pick(cl.rnd, cl.daemons), Begun: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, clientPatience)
+	oc := Outcome{ID: fmt.Sprintf("%s-%d-%d", kind, cl.num, cl.sent), Kind: kind, Daemon: pick(cl.rnd, cl.daemons), Start: time.Now()}
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) { oc.Sent = info.Err == nil }})
-	// An unknown kind of body keeps net/http from sending a request once more itself.
+	// A body of a type that net/http cannot rewind keeps it from retrying the request.
 	body := io.MultiReader(strings.NewReader("question"))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+cl.so.daemons[oc.Daemon].ip+":18080/"+string(kind)+"/x", body)
 	if err != nil {
-		cl.so.check.Violate("client: %v", err)
+		cl.so.check.ReportViolation("client: %v", err)
 		return
 	}
 	req.Host = emulator.Host
 	req.Header.Set(platform.HeaderRequestID, oc.ID)
 	req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.Key)
-	req.Header.Set(platform.HeaderDeadline, fmt.Sprint(clientPatience.Milliseconds()))
+	req.Header.Set(platform.HeaderDeadline, fmt.Sprint(clientTimeout.Milliseconds()))
 	if kind == Draft {
 		req.Header.Set(platform.HeaderModel, pick(cl.rnd, []string{emulator.ModelLarge, emulator.ModelSmall}))
 		req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", draftEvents*7))
@@ -118,15 +121,15 @@
 		rsp.Body.Close()
 		oc.Status, oc.Body, err = rsp.StatusCode, string(raw), readErr
 	}
-	oc.Ended = time.Now()
-	oc.Cut, oc.GaveUp = err != nil, ctx.Err() != nil
-	cl.so.check.Ended(oc)
+	oc.End = time.Now()
+	oc.Disconnected, oc.TimedOut = err != nil, ctx.Err() != nil
+	cl.so.check.RecordOutcome(oc)
 	if err != nil && !oc.Sent {
 		cl.expiry = time.Time{}
 	}
 }
 
-// want is the whole answer to a request.
+// want returns the complete body of the response to a request.
 func want(kind Kind, id string) string {
 	if kind != Draft {
 		return emulator.Body(id)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,37 +9,37 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// fault is one disturbance of a run.
+// fault is a disturbance that a run injects.
 type fault struct {
 	name string
-	// planned faults are no excuse for a request that is cut off.
+	// planned faults, such as a graceful stop, do not excuse disconnected requests.
 	planned bool
-	// weight is how often it is drawn, against the others.
+	// weight is the relative probability of the fault.
 	weight int
-	// run does the fault for some time and undoes it.
+	// run injects the fault for dur and reverts it.
 	run func(so *Soak, rnd *rand.Rand, dur time.Duration)
 }
 
-// faults are all that a run draws from.
+// faults are the faults that a run draws from.
 var faults = []fault{
 	{"kill", false, 3, killDaemon},
 	{"kill all", false, 1, killAll},
 	{"pause", false, 2, pauseDaemon},
 	{"stop", true, 4, stopDaemon},
-	{"hang up", true, 1, hangUp},
-	{"store for one", false, 2, storeForOne},
-	{"store for all", false, 2, storeForAll},
-	{"store's history", false, 1, dropHistory},
-	{"store's leases", false, 1, endLeases},
-	{"way to the store", false, 2, harmStoreWay},
-	{"way to a server", false, 3, harmServerWay},
-	{"server dies", false, 2, killServer},
-	{"server leaves", true, 2, serverLeaves},
-	{"server misbehaves", false, 2, serverMisbehaves},
+	{"hangup signal", true, 1, sighup},
+	{"store fault for one daemon", false, 2, storeFaultForOne},
+	{"store fault for all daemons", false, 2, storeFaultForAll},
+	{"store compaction", false, 1, compactHistory},
+	{"store leases revoked", false, 1, revokeLeases},
+	{"store connection", false, 2, disturbStoreConn},
+	{"server connection", false, 3, disturbServerConn},
+	{"server killed", false, 2, killServer},
+	{"server drained", true, 2, drainServer},
+	{"server fails requests", false, 2, failRequests},
 	{"configuration", true, 3, configure},
 }
 
-// draw returns a fault by its weight.
+// draw returns a random fault, by weight.
 func draw(rnd *rand.Rand) fault {
 	sum := 0
 	for _, fa := range faults {
@@ -54,13 +54,14 @@
 	return faults[0]
 }
 
+// pick returns a random element.
 func pick[T any](rnd *rand.Rand, from []T) T { return from[rnd.IntN(len(from))] }
 
 func killDaemon(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	so.restart(pick(rnd, so.daemons), dur, (*process).kill)
 }
 
-// killAll ends all daemons at once, as a loss of power does.
+// killAll kills all daemons at once, as a power failure does.
 func killAll(so *Soak, _ *rand.Rand, dur time.Duration) {
 	done := make(chan struct{})
 	for _, ps := range so.daemons {
@@ -85,42 +86,44 @@
 	ps.signal(syscall.SIGCONT)
 }
 
+// stopDaemon stops a daemon gracefully and starts it again.
 func stopDaemon(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	ps := pick(rnd, so.daemons)
 	so.restart(ps, dur/4, func(ps *process) {
-		end := so.check.Stopping(ps.num)
+		end := so.check.BeginStop(ps.num)
 		defer end()
 		if !ps.stop() {
-			so.check.Violate("%s did not stop within %v", ps.name(), graceTime)
+			so.check.ReportViolation("%s did not exit within %v of SIGTERM", ps.name(), graceTime)
 		}
 	})
 }
 
-func hangUp(so *Soak, rnd *rand.Rand, _ time.Duration) { pick(rnd, so.daemons).signal(syscall.SIGHUP) }
+// sighup sends SIGHUP to a daemon.
+func sighup(so *Soak, rnd *rand.Rand, _ time.Duration) { pick(rnd, so.daemons).signal(syscall.SIGHUP) }
 
 var storeFaults = []emulator.StoreFault{emulator.Busy, emulator.Silent, emulator.LosesAnswers}
 
-func storeForOne(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	ga := pick(rnd, so.gates)
-	ga.SetFault(pick(rnd, storeFaults))
+func storeFaultForOne(so *Soak, rnd *rand.Rand, dur time.Duration) {
+	sp := pick(rnd, so.storeProxies)
+	sp.SetFault(pick(rnd, storeFaults))
 	so.sleep(dur)
-	ga.SetFault(emulator.Sound)
+	sp.SetFault(emulator.Sound)
 }
 
-func storeForAll(so *Soak, rnd *rand.Rand, dur time.Duration) {
+func storeFaultForAll(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	how := pick(rnd, storeFaults)
-	for _, ga := range so.gates {
-		ga.SetFault(how)
+	for _, sp := range so.storeProxies {
+		sp.SetFault(how)
 	}
 	so.sleep(dur)
-	for _, ga := range so.gates {
-		ga.SetFault(emulator.Sound)
+	for _, sp := range so.storeProxies {
+		sp.SetFault(emulator.Sound)
 	}
 }
 
-// dropHistory changes the configuration unseen by watches and then drops the
-// history that tells of it.
-func dropHistory(so *Soak, _ *rand.Rand, _ time.Duration) {
+// compactHistory changes the configuration while watches are muted and then compacts
+// the store's history, so that no watch can deliver the change.
+func compactHistory(so *Soak, _ *rand.Rand, _ time.Duration) {
 	so.deployment.Store.Mute(true)
 	so.configure()
 	so.sleep(time.Second)
@@ -128,21 +131,25 @@
 	so.deployment.Store.Mute(false)
 }
 
-func endLeases(so *Soak, _ *rand.Rand, _ time.Duration) { so.deployment.Store.EndLeases() }
+// revokeLeases ends all leases in the store.
+func revokeLeases(so *Soak, _ *rand.Rand, _ time.Duration) { so.deployment.Store.EndLeases() }
 
-var harms = []Harm{Delayed, Reset, OneWay, Silenced}
+var connFaults = []ConnFault{Delayed, Reset, OneWay, Blackholed}
 
-func harmStoreWay(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	so.harm(pick(rnd, so.storeWays), pick(rnd, harms), dur)
+// disturbStoreConn injects a fault into the connections of a daemon to the store.
+func disturbStoreConn(so *Soak, rnd *rand.Rand, dur time.Duration) {
+	so.injectConnFault(pick(rnd, so.storeTCPProxies), pick(rnd, connFaults), dur)
 }
 
-func harmServerWay(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	so.harm(so.serverWay(rnd), pick(rnd, harms), dur)
+// disturbServerConn injects a fault into the connections of all daemons to a server.
+func disturbServerConn(so *Soak, rnd *rand.Rand, dur time.Duration) {
+	so.injectConnFault(so.pickServerProxy(rnd), pick(rnd, connFaults), dur)
 }
 
-// killServer ends a model server, whose entry lapses later; an empty one comes.
+// killServer kills a model server, removes its entry after dur, as when its lease
+// expires, and adds an empty replacement.
 func killServer(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	id := so.takeServer(rnd)
+	id := so.reserveServer(rnd)
 	if id == "" {
 		return
 	}
@@ -152,30 +159,34 @@
 	so.addServer()
 }
 
-// drainTime is how long a leaving server serves after it has said so.
+// drainTime is half the time for which a server keeps serving after it has announced
+// that it is leaving.
 const drainTime = 2 * time.Second
 
-func serverLeaves(so *Soak, rnd *rand.Rand, _ time.Duration) {
-	id := so.takeServer(rnd)
+// drainServer adds a replacement, announces in a model server's entry that it is
+// leaving, and stops it after its requests have ended.
+func drainServer(so *Soak, rnd *rand.Rand, _ time.Duration) {
+	id := so.reserveServer(rnd)
 	if id == "" {
 		return
 	}
 	so.addServer()
 	so.deployment.Leave(id)
-	// Its requests last for a second; it goes on for a little longer.
+	// Requests last for one second; the server runs longer than that.
 	so.sleep(2 * drainTime)
 	so.deployment.Forget(id)
 	so.deployment.Kill(id)
 }
 
-func serverMisbehaves(so *Soak, rnd *rand.Rand, dur time.Duration) {
+// failRequests makes a server fail some of its requests in one way.
+func failRequests(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	kinds := []emulator.Fault{emulator.Refuses, emulator.Fails, emulator.Truncates, emulator.LosesAnswer, emulator.Foreign}
-	so.misbehave(rnd, pick(rnd, kinds), dur)
+	so.injectServerFault(rnd, pick(rnd, kinds), dur)
 }
 
 func configure(so *Soak, _ *rand.Rand, _ time.Duration) { so.configure() }
 
-// String names a fault with its time, for the log.
+// String returns the fault's name for the log.
 func (fa fault) String() string {
 	if fa.planned {
 		return fmt.Sprintf("%s (planned)", fa.name)
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -10,74 +10,85 @@
 )
 
 const (
-	// needLearnt is how long daemons have to learn of a limit, needWindow the span in which what
-	// the server gets is counted then.
-	needLearnt = 3 * time.Second
-	needWindow = 4 * time.Second
-	// mostLimited is what a server that names one request a second may get in that span.
-	mostLimited = 11
+	// limitPropagation is how long daemons have to learn of a limit before a
+	// server's requests are counted. limitWindow is the period in which they are
+	// counted.
+	limitPropagation = 3 * time.Second
+	limitWindow      = 4 * time.Second
+	// maxLimitedRequests is how many requests a server with a limit of one request
+	// per second may receive within limitWindow.
+	maxLimitedRequests = 11
 )
 
-// need is something that a server says of itself in its answers for some time.
-type need struct {
+// backpressureFault makes a server announce backpressure in its responses for some time.
+type backpressureFault struct {
+	// weight is the relative probability of the announcement.
 	weight int
-	run    func(so *Soak, rnd *rand.Rand, dur time.Duration)
+	// run announces the backpressure for dur and then withdraws it.
+	run func(so *Soak, rnd *rand.Rand, dur time.Duration)
 }
 
-var needs = []need{{2, nameLimit}, {2, askForRest}, {1, leaveByAnswer}}
+// backpressureFaults are the announcements that a run draws from, by weight.
+var backpressureFaults = []backpressureFault{{2, announceLimit}, {2, announceRetryAfter}, {1, announceLeaving}}
 
-// playNeeds lets servers be in need at random moments, until busy ends. It has a random source of
-// its own, so that the other faults of a seed stay as they are.
-func (so *Soak) playNeeds(busy context.Context, running *sync.WaitGroup) {
+// injectBackpressure makes servers announce backpressure at random times until ctx ends.
+// It has its own random source, so that a seed keeps its sequence of other faults.
+func (so *Soak) injectBackpressure(ctx context.Context, running *sync.WaitGroup) {
 	rnd := rand.New(rand.NewPCG(so.Seed, 3))
-	for busy.Err() == nil {
+	for ctx.Err() == nil {
+		// 5 is the sum of the weights.
 		at := rnd.IntN(5)
 		dur := time.Duration(rnd.Int64N(int64(6 * so.Every)))
-		own := rand.New(rand.NewPCG(rnd.Uint64(), 4))
-		for _, ne := range needs {
-			if at -= ne.weight; at < 0 {
-				running.Go(func() { ne.run(so, own, dur) })
+		faultRnd := rand.New(rand.NewPCG(rnd.Uint64(), 4))
+		for _, bf := range backpressureFaults {
+			if at -= bf.weight; at < 0 {
+				running.Go(func() { bf.run(so, faultRnd, dur) })
 				break
 			}
 		}
-		so.pause(busy, time.Duration(rnd.ExpFloat64()*2*float64(so.Every)))
+		so.pause(ctx, time.Duration(rnd.ExpFloat64()*2*float64(so.Every)))
 	}
 }
 
-// anyServer returns a server of any service.
-func (so *Soak) anyServer(rnd *rand.Rand) *emulator.Server {
+// pickServer returns a random model server or plain server.
+func (so *Soak) pickServer(rnd *rand.Rand) *emulator.Server {
 	return so.deployment.Server(pick(rnd, append(so.deployment.IDs("engine"), so.deployment.IDs("desk")...)))
 }
 
-func nameLimit(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	sv := so.anyServer(rnd)
-	so.Log.Info("soak: server names a limit.", "server", sv.ID, "for", dur)
+// announceLimit makes a server announce a limit of one request per second, and checks
+// that daemons observe it.
+func announceLimit(so *Soak, rnd *rand.Rand, dur time.Duration) {
+	sv := so.pickServer(rnd)
+	so.Log.Info("soak: server announces a limit.", "server", sv.ID, "for", dur)
 	sv.SetNeed(emulator.Need{Limit: "1"})
 	begin := time.Now()
-	so.sleep(needLearnt + needWindow + dur)
-	so.check.Limited(sv.ID, sv.Busiest(needWindow, begin.Add(needLearnt)), begin)
+	so.sleep(limitPropagation + limitWindow + dur)
+	so.check.CheckLimit(sv.ID, sv.Busiest(limitWindow, begin.Add(limitPropagation)), begin)
 	sv.SetNeed(emulator.Need{})
 }
 
-func askForRest(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	sv := so.anyServer(rnd)
-	so.Log.Info("soak: server asks for rest.", "server", sv.ID, "for", dur)
+// announceRetryAfter makes a server shed requests and announce a retry-after of 2 s.
+func announceRetryAfter(so *Soak, rnd *rand.Rand, dur time.Duration) {
+	sv := so.pickServer(rnd)
+	so.Log.Info("soak: server sheds requests and announces retry-after.", "server", sv.ID, "for", dur)
 	sv.SetNeed(emulator.Need{Sheds: true, Rest: "2"})
 	so.sleep(dur)
 	sv.SetNeed(emulator.Need{})
 }
 
-// leaveByAnswer lets a server leave whose entry says so too late.
-func leaveByAnswer(so *Soak, rnd *rand.Rand, _ time.Duration) {
-	id := so.takeServer(rnd)
+// announceLeaving makes a server announce in its responses that it is leaving. Its entry
+// does not announce that and is removed only right before the server is killed, so its
+// end counts as an unplanned fault.
+func announceLeaving(so *Soak, rnd *rand.Rand, _ time.Duration) {
+	id := so.reserveServer(rnd)
 	if id == "" {
 		return
 	}
-	so.Log.Info("soak: server leaves by its answers.", "server", id)
+	so.Log.Info("soak: server announces in its responses that it is leaving.", "server", id)
 	so.addServer()
 	so.deployment.Server(id).SetNeed(emulator.Need{Leaving: true})
 	so.sleep(2 * drainTime)
-	defer so.check.Fault()()
+	defer so.check.BeginFault()()
 	so.deployment.Forget(id)
 	so.deployment.Kill(id)
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,11 +14,11 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// graceTime is how long a process may take to stop once it was told to, as the
-// settings of the emulated platform have it.
+// graceTime is how long a daemon may take to exit after SIGTERM. It matches the
+// settings of the emulated platform.
 const graceTime = 8 * time.Second
 
-// process is a daemon as a process of its own, started anew after each end.
+// process runs a daemon as an operating system process and restarts it after each exit.
 type process struct {
 	num             int
 	binary, dir, ip string
@@ -26,27 +26,27 @@
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	ended  chan struct{}
+	exited chan struct{}
 	starts int
-	// reserved is set while a fault ends or pauses the process.
+	// reserved is set while a fault stops or pauses the process.
 	reserved bool
 }
 
-// name tells one life of the daemon from others.
+// name identifies one incarnation of the daemon.
 func (ps *process) name() string {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	return fmt.Sprintf("daemon %d, start %d", ps.num, ps.starts)
 }
 
-// start starts the daemon with a log file for each life.
+// start starts the daemon with a new log file for this incarnation.
 func (ps *process) start() error {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.starts++
 	log, err := os.Create(filepath.Join(ps.dir, fmt.Sprintf("daemon-%d-%d.log", ps.num, ps.starts)))
 	if err != nil {
-		return eris.Wrap(err, "log file")
+		return eris.Wrap(err, "create log file of daemon")
 	}
 	defer log.Close()
 	cmd := exec.Command(ps.binary, "front", "--metrics-port=0")
@@ -55,43 +55,45 @@
 	if err := cmd.Start(); err != nil {
 		return eris.Wrap(err, "start daemon")
 	}
-	ended := make(chan struct{})
-	ps.cmd, ps.ended = cmd, ended
+	exited := make(chan struct{})
+	ps.cmd, ps.exited = cmd, exited
 	go func() {
-		_ = cmd.Wait() // How it ended is in its log, or the soak's doing.
-		close(ended)
+		_ = cmd.Wait() // The log holds the cause of the exit unless a fault caused it.
+		close(exited)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process that this soak started, if it runs still.
+// signal sends a signal to the process unless it has exited.
 func (ps *process) signal(sig syscall.Signal) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	select {
-	case <-ps.ended:
+	case <-ps.exited:
 	default:
-		_ = ps.cmd.Process.Signal(sig) // It may just have ended.
+		_ = ps.cmd.Process.Signal(sig) // The process may just have exited.
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its exit.
 func (ps *process) kill() {
 	ps.signal(syscall.SIGKILL)
-	<-ps.end()
+	<-ps.done()
 }
 
-func (ps *process) end() <-chan struct{} {
+// done returns a channel that is closed when the current incarnation has exited.
+func (ps *process) done() <-chan struct{} {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	return ps.ended
+	return ps.exited
 }
 
-// stop tells the process to stop and reports whether it ended in time.
+// stop sends SIGTERM and reports whether the process exited within graceTime. If not,
+// it kills the process.
 func (ps *process) stop() bool {
 	ps.signal(syscall.SIGTERM)
 	select {
-	case <-ps.end():
+	case <-ps.done():
 		return true
 	case <-time.After(graceTime):
 		ps.kill()
@@ -99,8 +101,9 @@
 	}
 }
 
-// reserve makes a daemon the business of one fault that ends or pauses it; faults
-// that do so to the same one at once would only undo each other.
+// reserve reserves the daemon for one fault that stops or pauses it, because two such
+// faults at once would revert each other. It returns false if the daemon is reserved
+// already; otherwise callers call release.
 func (ps *process) reserve() bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -111,6 +114,7 @@
 	return true
 }
 
+// release ends a reservation.
 func (ps *process) release() {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// Harm is what a proxy does to the connections that pass it.
-type Harm int
+// ConnFault is a fault that a proxy injects into its connections.
+type ConnFault int
 
-// The harms of a proxy.
+// The faults of a proxy.
 const (
-	// Unharmed passes everything on.
-	Unharmed Harm = iota
-	// Delayed passes everything on later.
+	// NoConnFault forwards everything.
+	NoConnFault ConnFault = iota
+	// Delayed forwards everything after delayTime.
 	Delayed
-	// Reset resets open connections and new ones.
+	// Reset resets open and new connections.
 	Reset
-	// OneWay passes requests on and loses what comes back.
+	// OneWay forwards requests and discards responses.
 	OneWay
-	// Silenced passes nothing on in either direction, and opens no connection.
-	Silenced
+	// Blackholed discards the bytes of both directions.
+	Blackholed
 )
 
-// delayTime is how much later a delayed proxy passes bytes on. It is longer than
-// the time-out of a connection to an endpoint and shorter than that of a call to
-// the store.
+// delayTime is how long Delayed holds bytes back. It is longer than the time-out of a
+// connection to an endpoint and shorter than that of a call to the store.
 const delayTime = 300 * time.Millisecond
 
-// Proxy is a TCP proxy on loopback whose connections can be harmed while open.
+// Proxy is a TCP proxy on loopback that can inject faults into open connections.
 type Proxy struct {
+	// Target is the address to connect to. Set it before Start.
 	Target string
 
 	ln    net.Listener
 	mu    sync.Mutex
-	harm  Harm
+	fault ConnFault
 	conns map[net.Conn]struct{}
 }
 
-// Start listens and returns the proxy's address. It ends with ctx.
+// Start listens on a free port and returns the proxy's address. The proxy stops when
+// ctx ends.
 func (pr *Proxy) Start(ctx context.Context) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,58 +55,62 @@
 	return ln.Addr().String(), nil
 }
 
-// Set changes the harm. Resetting ends what is open; connections that were silent
-// stay silent for good, as when something between the ends has forgotten them.
-func (pr *Proxy) Set(harm Harm) {
+// SetFault changes the fault of open and new connections. Reset closes the open ones.
+// A connection that has lost bytes forwards nothing more in that direction after the
+// fault ends, as when a stateful device between the ends has dropped its state.
+func (pr *Proxy) SetFault(fault ConnFault) {
 	pr.mu.Lock()
-	pr.harm = harm
+	pr.fault = fault
 	pr.mu.Unlock()
-	if harm == Reset {
+	if fault == Reset {
 		pr.closeAll(true)
 	}
 }
 
-func (pr *Proxy) current() Harm {
+func (pr *Proxy) current() ConnFault {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	return pr.harm
+	return pr.fault
 }
 
+// closeAll closes all connections, with a TCP reset on request.
 func (pr *Proxy) closeAll(reset bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	for nc := range pr.conns {
 		if tc, ok := nc.(*net.TCPConn); ok && reset {
-			_ = tc.SetLinger(0) // Closing resets the connection then.
+			_ = tc.SetLinger(0) // Makes Close send a reset.
 		}
 		nc.Close()
 	}
 }
 
+// accept forwards each connection until the listener closes.
 func (pr *Proxy) accept(ctx context.Context) {
 	for {
 		nc, err := pr.ln.Accept()
 		if err != nil {
 			return
 		}
-		go pr.pass(ctx, nc)
+		go pr.forward(ctx, nc)
 	}
 }
 
-func (pr *Proxy) keep(nc net.Conn, keep bool) {
+// track adds a connection to those that closeAll closes, or removes it.
+func (pr *Proxy) track(nc net.Conn, add bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	if keep {
+	if add {
 		pr.conns[nc] = struct{}{}
 		return
 	}
 	delete(pr.conns, nc)
 }
 
-// pass connects a caller to the target and copies both ways.
-func (pr *Proxy) pass(ctx context.Context, from net.Conn) {
-	pr.keep(from, true)
-	defer pr.keep(from, false)
+// forward connects to the target and copies bytes in both directions.
+func (pr *Proxy) forward(ctx context.Context, from net.Conn) {
+	pr.track(from, true)
+	defer pr.track(from, false)
 	defer from.Close()
 	if pr.current() == Reset {
 		pr.closeAll(true)
@@ -116,8 +121,8 @@
 	if err != nil {
 		return
 	}
-	pr.keep(to, true)
-	defer pr.keep(to, false)
+	pr.track(to, true)
+	defer pr.track(to, false)
 	defer to.Close()
 	done := make(chan struct{}, 2)
 	go pr.copy(to, from, false, done)
@@ -125,19 +130,19 @@
 	<-done
 }
 
-// copy passes bytes on as the harm of the moment has it.
-func (pr *Proxy) copy(to, from net.Conn, answers bool, done chan<- struct{}) {
+// copy copies bytes in one direction, subject to the current fault.
+func (pr *Proxy) copy(to, from net.Conn, responses bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 16<<10)
-	lost := false
+	discarding := false
 	for {
 		num, err := from.Read(buf)
-		if harm := pr.current(); harm == Silenced || harm == OneWay && answers {
-			lost = true
-		} else if harm == Delayed {
+		if fault := pr.current(); fault == Blackholed || fault == OneWay && responses {
+			discarding = true
+		} else if fault == Delayed {
 			time.Sleep(delayTime)
 		}
-		if num > 0 && !lost {
+		if num > 0 && !discarding {
 			if _, err := to.Write(buf[:num]); err != nil {
 				return
 			}
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echo answers each line with itself and returns its address.
+// echo starts a server that echoes what it reads, and returns its address.
 func echo(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,10 +33,10 @@
 	return ln.Addr().String()
 }
 
-// A proxy harms connections that are open already, and what it has harmed shows at
-// the caller as a reset, or as nothing at all.
-func TestProxyHarmsOpenConnections(t *testing.T) {
-	for _, harm := range []Harm{Unharmed, Delayed, Reset, OneWay, Silenced} {
+// A proxy injects faults into connections that are already open. The caller sees a
+// reset, a missing response or, with a delay or no fault, the response.
+func TestProxyInjectsConnFaults(t *testing.T) {
+	for _, fault := range []ConnFault{NoConnFault, Delayed, Reset, OneWay, Blackholed} {
 		pr := &Proxy{Target: echo(t)}
 		addr, err := pr.Start(t.Context())
 		if err != nil {
@@ -48,32 +48,32 @@
 		}
 		defer nc.Close()
 		br := bufio.NewReader(nc)
-		say := func() error {
+		roundTrip := func() error {
 			if _, err := io.WriteString(nc, "line\n"); err != nil {
 				return err
 			}
 			_, err := br.ReadString('\n')
 			return err
 		}
-		if err := say(); err != nil {
-			t.Fatalf("before any harm: %v", err)
+		if err := roundTrip(); err != nil {
+			t.Fatalf("before any fault: %v", err)
 		}
-		pr.Set(harm)
-		silent := harm == OneWay || harm == Silenced
-		if silent {
+		pr.SetFault(fault)
+		noResponse := fault == OneWay || fault == Blackholed
+		if noResponse {
 			if err := nc.SetReadDeadline(time.Now().Add(2 * delayTime)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		err = say()
+		err = roundTrip()
 		var ne net.Error
 		switch {
-		case silent && !(errors.As(err, &ne) && ne.Timeout()):
-			t.Errorf("harm %d: %v, want no answer", harm, err)
-		case harm == Reset && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
-			t.Errorf("harm %d: %v, want a reset", harm, err)
-		case !silent && harm != Reset && err != nil:
-			t.Errorf("harm %d: %v", harm, err)
+		case noResponse && !(errors.As(err, &ne) && ne.Timeout()):
+			t.Errorf("fault %d: %v, want no response before the deadline", fault, err)
+		case fault == Reset && !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE):
+			t.Errorf("fault %d: %v, want a connection reset", fault, err)
+		case !noResponse && fault != Reset && err != nil:
+			t.Errorf("fault %d: %v, want a response", fault, err)
 		}
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real daemons as processes of their own before an emulated
-// platform, disturbs them from outside, and checks from what callers and endpoints
-// see that the promises hold. What happens is drawn from a seed.
+// Package soak runs daemons as processes against an emulated platform, injects faults
+// from outside, and checks from what callers and endpoints observe that the system
+// keeps its guarantees. A seed determines the sequence of faults.
 package soak
 
 import (
@@ -24,15 +24,17 @@
 // Soak is one run. Set the exported fields before Run.
 type Soak struct {
 	Log *slog.Logger
-	// Binary is the daemon's program, Dir is where settings and logs go.
+	// Binary is the path of the daemon's program. Dir is the directory for settings
+	// and logs.
 	Binary, Dir string
 	Seed        uint64
-	// Daemons, Models, Desks and Clients are numbers of each.
+	// Daemons, Models (model servers), Desks (plain servers) and Clients are numbers
+	// of each.
 	Daemons, Models, Desks, Clients int
-	// Time is how long faults come.
+	// Time is how long faults are injected.
 	Time time.Duration
-	// Every is the mean time between two faults; each lasts for up to six times
-	// as long, so that they overlap.
+	// Every is the mean time between two faults. Each lasts up to six times as long,
+	// so that faults overlap.
 	Every time.Duration
 	// Subnet gives the daemons the addresses 127.0.Subnet.1 and up.
 	Subnet int
@@ -41,73 +43,79 @@
 	check      *Checker
 	deployment *emulator.Deployment
 	daemons    []*process
-	gates      []*emulator.Gate
-	storeWays  []*Proxy
-	mu         sync.Mutex
-	serverWays map[string]*Proxy
-	taken      map[string]bool
-	versions   []emulator.Route
+	// storeProxies inject faults into the responses of the store, and
+	// storeTCPProxies into the connections to it. Both are indexed by daemon.
+	storeProxies    []*emulator.Gate
+	storeTCPProxies []*Proxy
+	mu              sync.Mutex
+	// serverTCPProxies are the proxies in front of the servers, by server ID.
+	serverTCPProxies map[string]*Proxy
+	// reserved has the IDs of the model servers that a fault has ended or will end.
+	reserved map[string]bool
+	versions []emulator.Route
 }
 
 const (
-	// settleLimit bounds the waits for all daemons to serve; loads take a second.
-	settleLimit = 60 * time.Second
-	// pollPause is the time between two looks.
-	pollPause = 50 * time.Millisecond
-	// eventEvery is the time between two events of a stream.
-	eventEvery = 50 * time.Millisecond
-	// probeEvery is the time between looks which configuration a daemon knows.
-	probeEvery = 100 * time.Millisecond
+	// readyTimeout limits the wait for all daemons to serve. Loads take one second.
+	readyTimeout = 60 * time.Second
+	// pollInterval is the time between two probes of waitReady.
+	pollInterval = 50 * time.Millisecond
+	// eventInterval is the time between two events of a stream.
+	eventInterval = 50 * time.Millisecond
+	// probeInterval is the time between two probes of a daemon's configuration.
+	probeInterval = 100 * time.Millisecond
 )
 
-// Run plays the seed and returns the promises that were broken.
+// Run runs the seed and returns the guarantees that were violated. An error means that
+// the platform or a daemon could not be started.
 func (so *Soak) Run(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	so.ctx = ctx
 	so.check = &Checker{Want: want}
-	so.serverWays, so.taken = make(map[string]*Proxy), make(map[string]bool)
+	so.serverTCPProxies, so.reserved = make(map[string]*Proxy), make(map[string]bool)
 	if err := so.start(); err != nil {
 		return nil, err
 	}
 	defer so.stopAll()
-	if !so.allServe() {
-		so.check.Violate("not all daemons serve within %v of the start", settleLimit)
+	if !so.waitReady() {
+		so.check.ReportViolation("not all daemons serve every route within %v of the start", readyTimeout)
 		return so.check.Violations(), nil
 	}
-	so.disturb()
-	if !so.allServe() {
-		so.check.Violate("not all daemons serve within %v of the last fault", settleLimit)
+	so.runWorkload()
+	if !so.waitReady() {
+		so.check.ReportViolation("not all daemons serve every route within %v of the last fault", readyTimeout)
 	}
 	so.check.Finish(so.deployment.RunCounts())
 	for _, vi := range so.deployment.Fleet.Violations() {
-		so.check.Violate("groups: %s", vi)
+		so.check.ReportViolation("groups: %s", vi)
 	}
-	so.Log.Info("soak: over.", "seed", so.Seed, "outcomes", so.check.Counts())
+	so.Log.Info("soak: finished.", "seed", so.Seed, "outcomes", so.check.Counts())
 	return so.check.Violations(), nil
 }
 
-// start starts the emulated platform and the daemons.
+// start starts the emulated platform and the daemons, each with proxies of its own to
+// the store.
 func (so *Soak) start() error {
-	so.deployment = &emulator.Deployment{Models: so.Models, Desks: so.Desks, EventEvery: eventEvery, Proxy: so.proxyServer}
+	so.deployment = &emulator.Deployment{Models: so.Models, Desks: so.Desks, EventEvery: eventInterval, Proxy: so.proxyServer}
 	if err := so.deployment.Start(so.ctx); err != nil {
 		return err
 	}
 	ip := func(num int) string { return fmt.Sprintf("127.0.%d.%d", so.Subnet, num+1) }
 	for num := range so.Daemons {
-		ga, addr, err := so.deployment.OpenGate()
+		sp, addr, err := so.deployment.OpenGate()
 		if err != nil {
 			return err
 		}
-		way := &Proxy{Target: addr}
-		if addr, err = way.Start(so.ctx); err != nil {
+		pr := &Proxy{Target: addr}
+		if addr, err = pr.Start(so.ctx); err != nil {
 			return err
 		}
-		so.gates, so.storeWays = append(so.gates, ga), append(so.storeWays, way)
+		so.storeProxies, so.storeTCPProxies = append(so.storeProxies, sp), append(so.storeTCPProxies, pr)
 		ps := &process{num: num, binary: so.Binary, dir: so.Dir, ip: ip(num), settings: filepath.Join(so.Dir, fmt.Sprintf("daemon-%d.json", num))}
 		raw := emulator.Settings(fmt.Sprint("entry-", num), ps.ip, addr, []string{ip(0) + ":18082", ip(1) + ":18082"})
 		if err := os.WriteFile(ps.settings, raw, 0o600); err != nil {
-			return eris.Wrap(err, "settings")
+			return eris.Wrap(err, "write settings of daemon")
 		}
 		if err := ps.start(); err != nil {
 			return err
@@ -117,54 +125,56 @@
 	return nil
 }
 
-// stopAll ends the processes that this run started.
+// stopAll kills the daemons that this run started.
 func (so *Soak) stopAll() {
 	for _, ps := range so.daemons {
 		ps.kill()
 	}
 }
 
-// proxyServer puts a proxy before a server.
+// proxyServer puts a TCP proxy in front of a server and returns the proxy's address.
 func (so *Soak) proxyServer(id, addr string) (string, error) {
-	way := &Proxy{Target: addr}
+	pr := &Proxy{Target: addr}
 	so.mu.Lock()
-	so.serverWays[id] = way
+	so.serverTCPProxies[id] = pr
 	so.mu.Unlock()
-	return way.Start(so.ctx)
+	return pr.Start(so.ctx)
 }
 
-// disturb lets clients work while faults come, and waits for the end of both.
-func (so *Soak) disturb() {
-	busy, stop := context.WithTimeout(so.ctx, so.Time)
+// runWorkload runs the clients and injects faults for the time of the run, and waits
+// until all requests and faults have ended.
+func (so *Soak) runWorkload() {
+	workCtx, stop := context.WithTimeout(so.ctx, so.Time)
 	defer stop()
 	var clients, running sync.WaitGroup
 	for num := range so.Clients {
-		clients.Go(func() { newClient(so, num, so.Seed).run(busy) })
+		clients.Go(func() { newClient(so, num, so.Seed).run(workCtx) })
 	}
 	for _, ps := range so.daemons {
-		clients.Go(func() { so.watchConfig(busy, ps) })
+		clients.Go(func() { so.watchConfig(workCtx, ps) })
 	}
-	clients.Go(func() { so.playNeeds(busy, &running) })
+	clients.Go(func() { so.injectBackpressure(workCtx, &running) })
 	rnd := rand.New(rand.NewPCG(so.Seed, 1))
-	for busy.Err() == nil {
+	for workCtx.Err() == nil {
 		fa, dur := draw(rnd), time.Duration(rnd.Int64N(int64(6*so.Every)))
-		own := rand.New(rand.NewPCG(rnd.Uint64(), 2))
-		running.Go(func() { so.runFault(fa, own, dur) })
-		so.pause(busy, time.Duration(rnd.ExpFloat64()*float64(so.Every)))
+		faultRnd := rand.New(rand.NewPCG(rnd.Uint64(), 2))
+		running.Go(func() { so.runFault(fa, faultRnd, dur) })
+		so.pause(workCtx, time.Duration(rnd.ExpFloat64()*float64(so.Every)))
 	}
 	clients.Wait()
 	running.Wait()
 }
 
+// runFault runs one fault. An unplanned one excuses its effects on requests.
 func (so *Soak) runFault(fa fault, rnd *rand.Rand, dur time.Duration) {
 	so.Log.Info("soak: fault.", "fault", fa.String(), "for", dur)
 	if !fa.planned {
-		defer so.check.Fault()()
+		defer so.check.BeginFault()()
 	}
 	fa.run(so, rnd, dur)
 }
 
-// pause waits, but no longer than ctx.
+// pause waits for dur or until ctx ends.
 func (so *Soak) pause(ctx context.Context, dur time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -172,9 +182,11 @@
 	}
 }
 
+// sleep waits for dur or until the run ends.
 func (so *Soak) sleep(dur time.Duration) { so.pause(so.ctx, dur) }
 
-// restart ends a daemon and starts it again after some time.
+// restart ends a daemon and starts it again after a while. It does nothing if another
+// fault has reserved the daemon.
 func (so *Soak) restart(ps *process, after time.Duration, end func(*process)) {
 	if !ps.reserve() {
 		return
@@ -183,46 +195,49 @@
 	end(ps)
 	so.sleep(after)
 	if err := ps.start(); err != nil {
-		so.check.Violate("daemon %d does not start: %v", ps.num, err)
+		so.check.ReportViolation("restart of daemon %d: %v", ps.num, err)
 	}
 }
 
-func (so *Soak) harm(way *Proxy, harm Harm, dur time.Duration) {
-	way.Set(harm)
+// injectConnFault injects a fault into a proxy's connections for dur.
+func (so *Soak) injectConnFault(pr *Proxy, fault ConnFault, dur time.Duration) {
+	pr.SetFault(fault)
 	so.sleep(dur)
-	way.Set(Unharmed)
+	pr.SetFault(NoConnFault)
 }
 
-// serverWay returns the proxy of a server.
-func (so *Soak) serverWay(rnd *rand.Rand) *Proxy {
+// pickServerProxy returns the TCP proxy in front of a random server.
+func (so *Soak) pickServerProxy(rnd *rand.Rand) *Proxy {
 	ids := append(so.deployment.IDs("engine"), so.deployment.IDs("desk")...)
 	so.mu.Lock()
 	defer so.mu.Unlock()
-	return so.serverWays[pick(rnd, ids)]
+	return so.serverTCPProxies[pick(rnd, ids)]
 }
 
-// takeServer returns a model server that no other fault ends, or "".
-func (so *Soak) takeServer(rnd *rand.Rand) string {
+// reserveServer returns a random model server and reserves it for good, so that no
+// other fault ends it. It returns "" if there is none left.
+func (so *Soak) reserveServer(rnd *rand.Rand) string {
 	ids := so.deployment.IDs("engine")
 	so.mu.Lock()
 	defer so.mu.Unlock()
-	ids = slices.DeleteFunc(ids, func(id string) bool { return so.taken[id] })
+	ids = slices.DeleteFunc(ids, func(id string) bool { return so.reserved[id] })
 	if len(ids) == 0 {
 		return ""
 	}
 	id := pick(rnd, ids)
-	so.taken[id] = true
+	so.reserved[id] = true
 	return id
 }
 
+// addServer adds a model server that is in no group yet.
 func (so *Soak) addServer() {
 	if _, err := so.deployment.AddModelServer(); err != nil {
-		so.check.Violate("server not added: %v", err)
+		so.check.ReportViolation("add model server: %v", err)
 	}
 }
 
-// misbehave makes a server fail a third of its requests for some time.
-func (so *Soak) misbehave(rnd *rand.Rand, how emulator.Fault, dur time.Duration) {
+// injectServerFault makes a server fail a third of its requests for dur.
+func (so *Soak) injectServerFault(rnd *rand.Rand, how emulator.Fault, dur time.Duration) {
 	ids := append(so.deployment.IDs("engine"), so.deployment.IDs("desk")...)
 	sv := so.deployment.Server(pick(rnd, ids))
 	sv.SetFault(func(*http.Request) emulator.Fault {
@@ -235,43 +250,47 @@
 	sv.SetFault(nil)
 }
 
-// configure puts a version of the configuration in force that adds a route.
+// configure publishes a version of the configuration that adds a route.
 func (so *Soak) configure() {
 	so.mu.Lock()
 	num := len(so.versions) + 1
 	so.versions = append(so.versions, emulator.Route{Name: fmt.Sprint("version-", num), Host: emulator.Host, Prefix: versionPrefix(num),
 		Kind: "safe", Timeout: 30000, Target: 10000, Attempts: 2, Service: "desk"})
-	// Written under the lock: an older list must not get a newer version.
+	// The call holds the lock so that versions are published in order.
 	so.deployment.Configure(slices.Clone(so.versions))
 	so.mu.Unlock()
 }
 
+// versionPrefix returns the path prefix of the route that a version adds.
 func versionPrefix(num int) string { return fmt.Sprintf("/version-%d/", num) }
 
-func (so *Soak) newest() int {
+// newestVersion returns the number of the newest configuration version.
+func (so *Soak) newestVersion() int {
 	so.mu.Lock()
 	defer so.mu.Unlock()
 	return len(so.versions)
 }
 
-// watchConfig looks which versions of the configuration a daemon knows.
+// watchConfig probes which of the newest two configuration versions a daemon serves.
 func (so *Soak) watchConfig(ctx context.Context, ps *process) {
 	for ctx.Err() == nil {
 		name := ps.name()
-		for num := max(1, so.newest()-1); num <= so.newest(); num++ {
-			status := so.ask(ctx, ps, versionPrefix(num))
-			// A daemon that knows no configuration yet refuses, which says nothing.
+		for num := max(1, so.newestVersion()-1); num <= so.newestVersion(); num++ {
+			status := so.probe(ctx, ps, versionPrefix(num))
+			// A daemon without any configuration refuses the request, which does not
+			// show whether it had the version before.
 			if known := status == http.StatusOK; name == ps.name() && (known || status == http.StatusNotFound) {
-				so.check.Served(name, num, known)
+				so.check.RecordVersion(name, num, known)
 			}
 		}
-		so.pause(ctx, probeEvery)
+		so.pause(ctx, probeInterval)
 	}
 }
 
-// ask sends a request that may be repeated and returns the status, 0 for none.
-func (so *Soak) ask(ctx context.Context, ps *process, prefix string) int {
-	ctx, cancel := context.WithTimeout(ctx, clientPatience)
+// probe sends a repeatable request and returns the response's status, or 0 if there was
+// none.
+func (so *Soak) probe(ctx context.Context, ps *process, prefix string) int {
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ps.ip+":18080"+prefix+"x", nil)
 	if err != nil {
@@ -291,21 +310,21 @@
 	return rsp.StatusCode
 }
 
-// allServe waits until every daemon serves every kind of request by the newest
-// configuration, and tells whether that came to be.
-func (so *Soak) allServe() bool {
+// waitReady waits until every daemon serves every kind of request under the newest
+// configuration. It returns false after readyTimeout.
+func (so *Soak) waitReady() bool {
 	prefixes := []string{"/draft/", "/slot/", "/confirm/"}
-	if num := so.newest(); num > 0 {
+	if num := so.newestVersion(); num > 0 {
 		prefixes = append(prefixes, versionPrefix(num))
 	}
-	until := time.Now().Add(settleLimit)
+	until := time.Now().Add(readyTimeout)
 	for _, ps := range so.daemons {
 		for _, prefix := range prefixes {
-			for so.ask(so.ctx, ps, prefix) != http.StatusOK {
+			for so.probe(so.ctx, ps, prefix) != http.StatusOK {
 				if time.Now().After(until) || so.ctx.Err() != nil {
 					return false
 				}
-				so.sleep(pollPause)
+				so.sleep(pollInterval)
 			}
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// regressions are seeds that failed once, each with its cause. They are played with
-// the sizes of the command's defaults.
+// regressions are seeds that failed before, with the cause. They run with the sizes of
+// the command's defaults.
 var regressions = []struct {
 	seed  uint64
 	cause string
 }{
-	{21, "the checker took a daemon's refusal before it had a configuration for knowing the newest one"},
+	{21, "the checker took a daemon that refused for lack of a configuration for one that served the newest version"},
 }
 
-// Three daemons are killed, paused, stopped, cut off and reconfigured for some
-// seconds. No caller sees a promise broken, whatever happens at once.
+// Daemons are killed, paused, stopped, disconnected and reconfigured for some seconds.
+// No caller observes a violated guarantee, whichever faults overlap.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("starts processes")
+		t.Skip("starts daemons as processes")
 	}
 	binary := filepath.Join(t.TempDir(), "corianderhub")
 	if out, err := exec.Command("go", "build", "-o", binary, "corianderhub.dev/corianderhub/cmd/corianderhub").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of the daemon: %v: %s", err, out)
 	}
 	seeds := []uint64{1}
 	for _, re := range regressions {
