--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -77,7 +77,7 @@
 				}
 				story.Sort(lines)
 				told.Reset()
-				if err := story.Print(&told, story.OfRequest(lines, id), id); err != nil {
+				if err := story.Print(&told, story.RequestLines(lines, id), id); err != nil {
 					t.Fatal(err)
 				}
 				for _, text := range want {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -12,8 +12,11 @@
 
 // The kinds of requests that clients send, named after the prefix of their route.
 const (
-	Draft   Kind = "draft"
-	Slot    Kind = "slot"
+	// Draft is a resumable stream from a model server.
+	Draft Kind = "draft"
+	// Slot is a repeatable request to a plain server.
+	Slot Kind = "slot"
+	// Confirm is a request to a plain server that is not repeatable.
 	Confirm Kind = "confirm"
 )
 
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -39,7 +39,8 @@
 	// expiry.
 	daemons []int
 	expiry  time.Time
-	sent    int
+	// sent is the number of requests sent, for their IDs.
+	sent int
 }
 
 func newClient(so *Soak, num int, seed uint64) *client {
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -38,7 +38,7 @@
 	for ctx.Err() == nil {
 		// 5 is the sum of the weights.
 		at := rnd.IntN(5)
-		dur := time.Duration(rnd.Int64N(int64(6 * so.Every)))
+		dur := time.Duration(rnd.Int64N(int64(6 * so.FaultInterval)))
 		faultRnd := rand.New(rand.NewPCG(rnd.Uint64(), 4))
 		for _, bf := range backpressureFaults {
 			if at -= bf.weight; at < 0 {
@@ -46,7 +46,7 @@
 				break
 			}
 		}
-		so.pause(ctx, time.Duration(rnd.ExpFloat64()*2*float64(so.Every)))
+		so.pause(ctx, time.Duration(rnd.ExpFloat64()*2*float64(so.FaultInterval)))
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -28,14 +28,13 @@
 	// and logs.
 	Binary, Dir string
 	Seed        uint64
-	// Daemons, Models (model servers), Desks (plain servers) and Clients are numbers
-	// of each.
-	Daemons, Models, Desks, Clients int
-	// Time is how long faults are injected.
-	Time time.Duration
-	// Every is the mean time between two faults. Each lasts up to six times as long,
-	// so that faults overlap.
-	Every time.Duration
+	// Daemons, ModelServers, PlainServers and Clients are the numbers of each.
+	Daemons, ModelServers, PlainServers, Clients int
+	// Duration is how long faults are injected.
+	Duration time.Duration
+	// FaultInterval is the mean time between two faults. Each lasts up to six times
+	// as long, so that faults overlap.
+	FaultInterval time.Duration
 	// Subnet gives the daemons the addresses 127.0.Subnet.1 and up.
 	Subnet int
 
@@ -97,7 +96,7 @@
 // start starts the emulated platform and the daemons, each with proxies of its own to
 // the store.
 func (so *Soak) start() error {
-	so.deployment = &emulator.Deployment{Models: so.Models, Desks: so.Desks, EventEvery: eventInterval, Proxy: so.proxyServer}
+	so.deployment = &emulator.Deployment{Models: so.ModelServers, Desks: so.PlainServers, EventEvery: eventInterval, Proxy: so.proxyServer}
 	if err := so.deployment.Start(so.ctx); err != nil {
 		return err
 	}
@@ -144,7 +143,7 @@
 // runWorkload runs the clients and injects faults for the time of the run, and waits
 // until all requests and faults have ended.
 func (so *Soak) runWorkload() {
-	workCtx, stop := context.WithTimeout(so.ctx, so.Time)
+	workCtx, stop := context.WithTimeout(so.ctx, so.Duration)
 	defer stop()
 	var clients, running sync.WaitGroup
 	for num := range so.Clients {
@@ -156,10 +155,10 @@
 	clients.Go(func() { so.injectBackpressure(workCtx, &running) })
 	rnd := rand.New(rand.NewPCG(so.Seed, 1))
 	for workCtx.Err() == nil {
-		fa, dur := draw(rnd), time.Duration(rnd.Int64N(int64(6*so.Every)))
+		fa, dur := draw(rnd), time.Duration(rnd.Int64N(int64(6*so.FaultInterval)))
 		faultRnd := rand.New(rand.NewPCG(rnd.Uint64(), 2))
 		running.Go(func() { so.runFault(fa, faultRnd, dur) })
-		so.pause(workCtx, time.Duration(rnd.ExpFloat64()*float64(so.Every)))
+		so.pause(workCtx, time.Duration(rnd.ExpFloat64()*float64(so.FaultInterval)))
 	}
 	clients.Wait()
 	running.Wait()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,18 +19,18 @@
 
 // EngineFaults are the faults that an Engine can inject.
 type EngineFaults struct {
-	// Silent accepts calls and does not respond to them.
-	Silent bool `json:"silent"`
+	// Unresponsive accepts calls and does not respond to them.
+	Unresponsive bool `json:"silent"`
 	// Leaving reports that the VM is about to stop.
 	Leaving bool `json:"leaving"`
-	// Straggle is an extra delay before every token, in nanoseconds in JSON.
-	Straggle time.Duration `json:"straggle"`
-	// CutAfter disconnects one stream after that many tokens. Zero is none.
-	CutAfter int `json:"cut-after"`
+	// TokenDelay is an extra delay before every token, in nanoseconds in JSON.
+	TokenDelay time.Duration `json:"straggle"`
+	// DisconnectAfter disconnects one stream after that many tokens. Zero is none.
+	DisconnectAfter int `json:"cut-after"`
 	// Truncate ends one stream cleanly, but without the usage chunk and the terminator.
 	Truncate bool `json:"truncate"`
-	// Foreign answers one request with the ID of another request.
-	Foreign bool `json:"foreign"`
+	// MismatchedResponse answers one request with the ID of another request.
+	MismatchedResponse bool `json:"foreign"`
 }
 
 // Engine is a test double of the model engine on one VM. Set the exported fields
@@ -174,11 +174,11 @@
 	return en.loads
 }
 
-// withUnresponsive holds calls without a response while Silent is set.
+// withUnresponsive holds calls without a response while Unresponsive is set.
 func (en *Engine) withUnresponsive(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		en.mu.Lock()
-		silent := en.faults.Silent
+		silent := en.faults.Unresponsive
 		en.mu.Unlock()
 		if silent {
 			<-req.Context().Done()
@@ -349,9 +349,9 @@
 	en.addInFlight(1)
 	defer en.addInFlight(-1)
 	requestID := req.Header.Get(endpoint.HeaderRequestID)
-	if ef.Foreign {
+	if ef.MismatchedResponse {
 		requestID = "another-request"
-		ef.Foreign = false
+		ef.MismatchedResponse = false
 		en.SetFaults(ef)
 	}
 	w.Header().Set(endpoint.HeaderRequestID, requestID)
@@ -415,9 +415,9 @@
 	flusher, _ := w.(http.Flusher)
 	time.Sleep(en.PrefillTime * time.Duration(len(prompt)/4) / 1000)
 	for i := resumed; i < total; i++ {
-		time.Sleep(en.TokenTime + ef.Straggle)
-		if ef.CutAfter > 0 && i-resumed == ef.CutAfter {
-			ef.CutAfter = 0
+		time.Sleep(en.TokenTime + ef.TokenDelay)
+		if ef.DisconnectAfter > 0 && i-resumed == ef.DisconnectAfter {
+			ef.DisconnectAfter = 0
 			en.SetFaults(ef)
 			panic(http.ErrAbortHandler)
 		}
@@ -465,15 +465,15 @@
 	return en.ringComplete
 }
 
-// Served returns how many streams completed.
-func (en *Engine) Served() int {
+// Completed returns how many streams completed.
+func (en *Engine) Completed() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.completed
 }
 
-// Busy returns how many completion requests run now.
-func (en *Engine) Busy() int {
+// InFlight returns how many completion requests run now.
+func (en *Engine) InFlight() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.inFlight
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,8 +20,8 @@
 // PlatformFaults are the faults that a Platform can inject.
 type PlatformFaults struct {
 	StoreFaults
-	// Slow is a delay before every call, in nanoseconds in JSON.
-	Slow time.Duration `json:"slow"`
+	// Delay is a delay before every call, in nanoseconds in JSON.
+	Delay time.Duration `json:"slow"`
 	// StaleList makes the list of VMs stay as it was when the fault was set.
 	StaleList bool `json:"stale-list"`
 }
@@ -100,13 +100,13 @@
 	return mux
 }
 
-// withFaults applies Slow and Down before next.
+// withFaults applies Delay and Down before next.
 func (pl *Platform) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		pl.mu.Lock()
 		pf := pl.faults
 		pl.mu.Unlock()
-		time.Sleep(pf.Slow)
+		time.Sleep(pf.Delay)
 		if pf.Down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -15,13 +15,13 @@
 type ServiceFaults struct {
 	// Refuse answers every call with 503 and the verdict not-run, without running it.
 	Refuse bool `json:"refuse"`
-	// LoseAnswers is the number of calls that run and whose connection is closed
+	// DropResponses is the number of calls that run and whose connection is closed
 	// without a response.
-	LoseAnswers int `json:"lose-answers"`
-	// Slow is a delay before every response, in nanoseconds in JSON.
-	Slow time.Duration `json:"slow"`
-	// Silent runs calls without responding to them.
-	Silent bool `json:"silent"`
+	DropResponses int `json:"lose-answers"`
+	// Delay is a delay before every response, in nanoseconds in JSON.
+	Delay time.Duration `json:"slow"`
+	// Unresponsive runs calls without responding to them.
+	Unresponsive bool `json:"silent"`
 }
 
 // Service is a test double of a plain service. It counts how many times it ran each
@@ -85,15 +85,15 @@
 	key := req.Header.Get("Idempotency-Key")
 	se.runs[key]++
 	num := se.runs[key]
-	if se.faults.LoseAnswers > 0 {
-		se.faults.LoseAnswers--
+	if se.faults.DropResponses > 0 {
+		se.faults.DropResponses--
 	}
 	se.mu.Unlock()
-	time.Sleep(sf.Slow)
-	if sf.Silent {
+	time.Sleep(sf.Delay)
+	if sf.Unresponsive {
 		<-req.Context().Done()
 	}
-	if sf.LoseAnswers > 0 || sf.Silent {
+	if sf.DropResponses > 0 || sf.Unresponsive {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(endpoint.HeaderRequestID, req.Header.Get(endpoint.HeaderRequestID))
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -18,12 +18,12 @@
 type StoreFaults struct {
 	// Down fails every call with platform.ErrUnavailable.
 	Down bool `json:"down"`
-	// LoseAnswers is the number of writes that take effect and fail with
+	// DropResponses is the number of writes that take effect and fail with
 	// platform.ErrUnknown.
-	LoseAnswers int `json:"lose-answers"`
-	// LoseWrites is the number of puts that fail with platform.ErrUnknown and have
+	DropResponses int `json:"lose-answers"`
+	// DropWrites is the number of puts that fail with platform.ErrUnknown and have
 	// no effect.
-	LoseWrites int `json:"lose-writes"`
+	DropWrites int `json:"lose-writes"`
 }
 
 // storedValue is the value of a key, with the revision of its last write and the ID of
@@ -120,10 +120,10 @@
 // responseError returns platform.ErrUnknown if the response to a write that took
 // effect is to be lost. Callers hold mu.
 func (st *Store) responseError() error {
-	if st.faults.LoseAnswers == 0 {
+	if st.faults.DropResponses == 0 {
 		return nil
 	}
-	st.faults.LoseAnswers--
+	st.faults.DropResponses--
 	return platform.ErrUnknown
 }
 
@@ -171,8 +171,8 @@
 	if len(value) > platform.MaxValueBytes {
 		return 0, eris.Errorf("%s: value of %d bytes exceeds the limit", key, len(value))
 	}
-	if st.faults.LoseWrites > 0 {
-		st.faults.LoseWrites--
+	if st.faults.DropWrites > 0 {
+		st.faults.DropWrites--
 		return 0, platform.ErrUnknown
 	}
 	_, leased := st.leases[leaseID]
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -17,10 +17,10 @@
 	marginAfter = 500 * time.Millisecond
 )
 
-// OfRequest returns the lines of a request, and the lines from the same time about
+// RequestLines returns the lines of a request, and the lines from the same time about
 // the groups and endpoints that it was sent to and the daemons that handled it.
 // Lines must be sorted by time. The result is nil if no line names the request.
-func OfRequest(lines []Line, id string) []Line {
+func RequestLines(lines []Line, id string) []Line {
 	var first, last time.Time
 	targets, sources := make(map[string]bool), make(map[string]bool)
 	content := ""
@@ -125,9 +125,9 @@
 // current state.
 const recentWindow = 10 * time.Second
 
-// Believed returns, for each source, the lines that describe its state at a time.
+// StateAt returns, for each source, the lines that describe its state at a time.
 // The result is sorted by source, then by time.
-func Believed(lines []Line, at time.Time) []Line {
+func StateAt(lines []Line, at time.Time) []Line {
 	last := make(map[string]Line)
 	for _, li := range lines {
 		if li.At.After(at) {
