--- a/cmd/bench/claims.go
+++ b/cmd/bench/claims.go
@@ -19,7 +19,7 @@
 func benchClaims(context.Context) error {
 	for _, rate := range []int{50, 500, 2000} {
 		st := standin.NewStore(clock.System{})
-		bo := &claims.Book{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
+		bo := &claims.Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 		var mu sync.Mutex
 		var waits time.Duration
 		var wg sync.WaitGroup
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -44,11 +44,11 @@
 }
 
 func run(ctx context.Context, op options) error {
-	de := &emulator.Deployment{Models: op.Models, Desks: op.Desks, EventEvery: eventEvery}
+	de := &emulator.Deployment{ModelServers: op.Models, PlainServers: op.Desks, EventInterval: eventEvery}
 	if err := de.Start(ctx); err != nil {
 		return err
 	}
-	_, store, err := de.OpenGate()
+	_, store, err := de.OpenStoreProxy()
 	if err != nil {
 		return err
 	}
--- a/cmd/platform-demo/main.go
+++ b/cmd/platform-demo/main.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return "", err
 	}
-	var an platform.ResolveAnswer
+	var an platform.ResolveResponse
 	if err := json.Unmarshal([]byte(raw), &an); err != nil || len(an.Addresses) == 0 {
 		return "", eris.Errorf("no address in %q", raw)
 	}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -53,9 +53,9 @@
 	Clock    clock.Clock
 	Log      *slog.Logger
 	Pools    *Pools
-	Engines  endpoint.Engines
-	Services endpoint.Services
-	Claims   *claims.Book
+	Engines  endpoint.EngineClient
+	Services endpoint.ServiceClient
+	Claims   *claims.Registry
 	Journal  *Journal
 	// DataCenter is this daemon's own.
 	DataCenter string
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -265,15 +265,15 @@
 	co.pool.router.Remember(co.rq, gr)
 	co.ex.record.attempt(Attempt{At: se.Clock.Now(), Target: gr.ID, Reason: "picked", Load: gr.Load()})
 	at := &delivery{se: se, co: co, gr: gr, target: ta, sentAt: se.Clock.Now()}
-	return se.Engines.Complete(ctx, endpoint.Completion{
-		RequestID: co.ex.id,
-		Address:   ta.Address,
-		Group:     ta.Group.ID,
-		Fence:     ta.Group.Fence,
-		Path:      co.ex.req.URL.Path,
-		Body:      body,
-		Stall:     se.Stall,
-		Before:    at.permitted,
+	return se.Engines.Complete(ctx, endpoint.CompletionRequest{
+		RequestID:    co.ex.id,
+		Address:      ta.Address,
+		Group:        ta.Group.ID,
+		Fence:        ta.Group.Fence,
+		Path:         co.ex.req.URL.Path,
+		Body:         body,
+		StallTimeout: se.Stall,
+		BeforeSend:   at.permitted,
 	}, at.chunk)
 }
 
@@ -324,10 +324,10 @@
 		co.count++
 		co.sent.WriteString(ch.Text)
 	}
-	if ch.Finish != "" {
-		co.finish = ch.Finish
+	if ch.FinishReason != "" {
+		co.finish = ch.FinishReason
 	}
-	if ch.Text == "" && ch.Finish == "" {
+	if ch.Text == "" && ch.FinishReason == "" {
 		return nil
 	}
 	return co.out.chunk(ch)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -54,7 +54,7 @@
 	}
 	// The claim may have been stored although no answer came: it is given
 	// back, so that the caller's retry is not taken for a duplicate.
-	se.Claims.Settle(op)
+	se.Claims.ReleaseInBackground(op)
 	return once{}, nil, &verdict.Error{Code: verdict.CodeNoClaim, Verdict: verdict.NotRun, RetryAfter: 2 * time.Second,
 		Message: "the key could not be claimed, so the request was not dispatched"}
 }
@@ -72,7 +72,7 @@
 			outcome.Body, outcome.Omitted = nil, true
 		}
 		op.Outcome = outcome
-		se.Claims.Record(op)
+		se.Claims.RecordInBackground(op)
 	case verdict.Of(err) == verdict.NotRun:
 		se.giveBack(op)
 	}
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	if se.Claims.Do(ctx, op).Answer != claim.Applied {
-		se.Claims.Settle(op)
+		se.Claims.ReleaseInBackground(op)
 	}
 }
 
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -82,7 +82,7 @@
 }
 
 // call makes attempts until one succeeds or no further one is allowed.
-func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on once) (endpoint.Answer, error) {
+func (se *Server) call(ctx context.Context, ex *exchange, en intent.Endpoint, on once) (endpoint.Response, error) {
 	se.budget.Earn()
 	timeout := time.Duration(en.Timeout)
 	if timeout == 0 {
@@ -92,19 +92,19 @@
 	for {
 		addr := se.picker.pick(en, tried, se.Clock.Now())
 		if addr == "" {
-			return endpoint.Answer{}, &verdict.Error{Code: verdict.CodeNoGroup, Verdict: verdict.NotRun,
+			return endpoint.Response{}, &verdict.Error{Code: verdict.CodeNoGroup, Verdict: verdict.NotRun,
 				RetryAfter: time.Second, Message: "no address of the endpoint is in use"}
 		}
 		tried = append(tried, addr)
 		an, err := se.Services.Do(ctx, endpoint.Call{
-			RequestID: ex.id,
-			Address:   addr,
-			Method:    ex.req.Method,
-			Path:      ex.req.URL.RequestURI(),
-			Header:    forwarded(ex),
-			Body:      ex.body,
-			Once:      on.marked,
-			Timeout:   timeout,
+			RequestID:  ex.id,
+			Address:    addr,
+			Method:     ex.req.Method,
+			Path:       ex.req.URL.RequestURI(),
+			Header:     forwarded(ex),
+			Body:       ex.body,
+			AtMostOnce: on.marked,
+			Timeout:    timeout,
 		})
 		if err == nil {
 			ex.record.attempt(Attempt{At: se.Clock.Now(), Target: addr, Reason: "answered"})
@@ -114,7 +114,7 @@
 		se.picker.shun(addr, se.Clock.Now())
 		again := on.mayRetry(err, idempotent(ex.req.Method)) && ctx.Err() == nil && len(tried) < maxCalls
 		if !again || !se.budget.Spend() {
-			return endpoint.Answer{}, err
+			return endpoint.Response{}, err
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	return hdr
 }
 
-func writeAnswer(w http.ResponseWriter, an endpoint.Answer) {
+func writeAnswer(w http.ResponseWriter, an endpoint.Response) {
 	for name, values := range an.Header {
 		if !slices.Contains(hopHeaders, name) && name != endpoint.HeaderRequestID {
 			w.Header()[name] = values
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -102,8 +102,8 @@
 			cc.Delta.Role = "assistant"
 		}
 	}
-	if ch.Finish != "" {
-		cc.Finish = &ch.Finish
+	if ch.FinishReason != "" {
+		cc.Finish = &ch.FinishReason
 	}
 	bo.Choices = []choice{cc}
 	return sw.event(bo)
--- a/internal/core/control/platform_test.go
+++ b/internal/core/control/platform_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return
 		}
-		up, err := st.After(context.Background(), hd, ac.After)
+		up, err := st.UpdateSince(context.Background(), hd, ac.After)
 		if err != nil {
 			return
 		}
@@ -134,7 +134,7 @@
 func (w *simulation) apply(no *node, operation string, obs ...intent.Object) (uint64, error) {
 	st := chainstore.Store{KV: w.store, Clock: clock.NewManual(w.clock.Now())}
 	cfg, _ := no.core.Config()
-	done, err := st.Apply(context.Background(), cfg, chainstore.Apply{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
+	done, err := st.Apply(context.Background(), cfg, chainstore.ApplyRequest{Change: intent.Change{Puts: obs}, Operation: operation, Operator: no.name})
 	if err == nil {
 		w.deliver(no, no.incarnation, control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
 	}
--- a/internal/core/steward/hold_test.go
+++ b/internal/core/steward/hold_test.go
@@ -135,7 +135,7 @@
 		}},
 		{"planned leave", func(si *simulation) {
 			gr := si.core.Groups()[0]
-			si.fleet.Change(gr.Members[1].ID, func(vm *emulator.VM) { vm.Leaving = true })
+			si.fleet.Update(gr.Members[1].ID, func(vm *emulator.VM) { vm.Leaving = true })
 			si.runWithStallReports(3 * time.Second)
 		}},
 	}
@@ -180,7 +180,7 @@
 
 // cut disconnects a VM from the network or reconnects it.
 func (si *simulation) cut(id string, cut bool) {
-	si.fleet.Change(id, func(vm *emulator.VM) { vm.Cut = cut })
+	si.fleet.Update(id, func(vm *emulator.VM) { vm.Unreachable = cut })
 }
 
 // stallDetectTime is how long daemons take to detect stalled streams.
@@ -273,7 +273,7 @@
 	si.runInitialLoads(5 * time.Second)
 	gr := si.groupWithSpare()
 	lost := gr.Members[1]
-	si.fleet.Change(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
+	si.fleet.Update(lost.ID, func(vm *emulator.VM) { vm.Dead = true })
 	delete(si.entries, lost.ID)
 	si.takeOver()
 	si.core.RestoreMember(gr, lost, si.now)
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -122,7 +122,7 @@
 	si := newSimulationWith(t, 3, 2, 73, wideModels)
 	si.runInitialLoads(4 * time.Second)
 	for _, id := range si.fleet.IDs() {
-		si.fleet.Change(id, func(vm *emulator.VM) { vm.Slowness = 1 })
+		si.fleet.Update(id, func(vm *emulator.VM) { vm.Slowness = 1 })
 	}
 	si.run(2 * emulator.ReportLag)
 	si.takeOver()
--- a/internal/core/steward/world_test.go
+++ b/internal/core/steward/world_test.go
@@ -176,7 +176,7 @@
 
 // kill stops a VM permanently. Its entry is removed entryTTL later.
 func (si *simulation) kill(id string) {
-	si.fleet.Change(id, func(vm *emulator.VM) { vm.Dead = true })
+	si.fleet.Update(id, func(vm *emulator.VM) { vm.Dead = true })
 	si.queue = append(si.queue, timer{si.now.Add(entryTTL), func() {
 		delete(si.entries, id)
 		si.core.Unregister(id, si.now)
--- a/internal/daemon/act.go
+++ b/internal/daemon/act.go
@@ -135,7 +135,7 @@
 		_ = da.Clock.Sleep(ctx, watchRetry)
 		return ev
 	}
-	up, err := da.chain.After(ctx, hd, ac.After)
+	up, err := da.chain.UpdateSince(ctx, hd, ac.After)
 	if err != nil {
 		da.Log.Warn("Config: the chain could not be read.", "revision", hd.Revision, "error", err)
 		_ = da.Clock.Sleep(ctx, watchRetry)
@@ -149,7 +149,7 @@
 	for _, addr := range ac.Peers {
 		go func() {
 			// A daemon that can't be told loses the permit by time.
-			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.Done{})
+			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.EmptyAnswer{})
 		}()
 	}
 }
@@ -157,7 +157,7 @@
 func (da *Daemon) pullSightings(ctx context.Context, ac control.PullObservations) control.Event {
 	ev := control.ObservationsArrived{Daemon: ac.Daemon, SentAt: da.Clock.Now()}
 	var an control.ObservationsAnswer
-	if err := da.node.Call(ctx, ac.Peer, peer.SightingsRequest{Since: ac.Since}, &an); err == nil {
+	if err := da.node.Call(ctx, ac.Peer, peer.ObservationsRequest{Since: ac.Since}, &an); err == nil {
 		ev.Answer = &an
 	}
 	return ev
@@ -274,10 +274,10 @@
 	var err error
 	switch req := req.(type) {
 	case peer.ClaimRequest:
-		return da.claims.Local(ctx, req.Op), nil
+		return da.claims.DoLocal(ctx, req.Op), nil
 	case peer.RevokeRequest:
 		da.loop.Post(control.Revoked{Group: req.Group, Fence: req.Fence})
-		return peer.Done{}, nil
+		return peer.EmptyAnswer{}, nil
 	case peer.PullRequest:
 		if req.From != "" {
 			da.loop.Post(control.PullReceived{Peer: req.From, Revision: req.Revision})
@@ -287,7 +287,7 @@
 		da.loop.ask(ctx, func() { answer = peer.DocsAnswer{Docs: da.loop.core.Newer(req.Have)} })
 	case peer.ConfigRequest:
 		da.loop.ask(ctx, func() { answer, err = da.loop.core.ConfigAfter(req.After) })
-	case peer.SightingsRequest:
+	case peer.ObservationsRequest:
 		da.loop.ask(ctx, func() { answer = da.loop.core.ObservationsAt(da.Clock.Now(), req.Since) })
 	}
 	if answer == nil && err == nil {
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -27,8 +27,8 @@
 	}
 	da.platform = &platform.Client{Address: da.Settings.Platform}
 	da.chain = chainstore.Store{KV: da.platform, Clock: da.Clock}
-	da.members = endpoint.Members{Transport: endpoint.NewTransport(memberConns)}
-	da.claims = &claims.Book{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
+	da.members = endpoint.MemberClient{Transport: endpoint.NewTransport(memberConns)}
+	da.claims = &claims.Registry{Store: da.platform, Clock: da.Clock, Owner: da.claimOwner, Forward: da.forwardClaim}
 	da.journal = &caller.Journal{}
 	da.buildCallers()
 	set := da.Settings.control()
@@ -48,15 +48,15 @@
 		Clock:           da.Clock,
 		Log:             da.Log,
 		Pools:           &caller.Pools{Clock: da.Clock, Policy: da.Route},
-		Engines:         endpoint.Engines{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineConns))},
+		Engines:         endpoint.EngineClient{Transport: otelhttp.NewTransport(endpoint.NewTransport(engineConns))},
 		Claims:          da.claims,
 		Journal:         da.journal,
 		DataCenter:      da.Settings.DataCenter,
 		Stall:           time.Duration(da.Settings.Timing.Stall),
 		EntriesLifetime: time.Duration(da.Settings.Timing.Entries),
-		Services: endpoint.Services{
-			Transport:     otelhttp.NewTransport(endpoint.NewTransport(serviceConns)),
-			OnceTransport: otelhttp.NewTransport(endpoint.NewOnceTransport()),
+		Services: endpoint.ServiceClient{
+			Transport:        otelhttp.NewTransport(endpoint.NewTransport(serviceConns)),
+			NoReuseTransport: otelhttp.NewTransport(endpoint.NewNoReuseTransport()),
 		},
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -66,8 +66,8 @@
 	node     *peer.Node
 	platform *platform.Client
 	chain    chainstore.Store
-	claims   *claims.Book
-	members  endpoint.Members
+	claims   *claims.Registry
+	members  endpoint.MemberClient
 	callers  *caller.Server
 	journal  *caller.Journal
 	leave    chan struct{}
--- a/internal/endpoint/complete.go
+++ b/internal/endpoint/complete.go
@@ -15,7 +15,7 @@
 )
 
 // Completion is one attempt to have a group complete a request.
-type Completion struct {
+type CompletionRequest struct {
 	RequestID string
 	Address   string
 	Group     string
@@ -25,9 +25,9 @@
 	// Body is the whole JSON request, with streaming asked for.
 	Body []byte
 	// Stall is how long the engine may go without sending anything.
-	Stall time.Duration
+	StallTimeout time.Duration
 	// Before is called right before the request is sent and may refuse it.
-	Before func() *verdict.Error
+	BeforeSend func() *verdict.Error
 }
 
 // Chunk is one event of a completion's stream.
@@ -35,7 +35,7 @@
 	// Text is the generated text.
 	Text string
 	// Finish is the finish reason, in the last chunk of text.
-	Finish string
+	FinishReason string
 	// Usage is the engine's account, if the chunk has one.
 	Usage json.RawMessage
 }
@@ -60,15 +60,15 @@
 }
 
 // Engines sends completions to groups' leaders.
-type Engines struct {
+type EngineClient struct {
 	Transport http.RoundTripper
 }
 
 // Complete sends the request and calls emit for each chunk in order. It
 // returns nil only after the stream's terminator. An error of emit ends the
 // attempt and is returned as it is.
-func (es Engines) Complete(ctx context.Context, co Completion, emit func(Chunk) error) error {
-	at := newAttempt(ctx, co.Stall)
+func (es EngineClient) Complete(ctx context.Context, co CompletionRequest, emit func(Chunk) error) error {
+	at := newAttempt(ctx, co.StallTimeout)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, http.MethodPost, "http://"+co.Address+co.Path, bytes.NewReader(co.Body))
 	if err != nil {
@@ -80,7 +80,7 @@
 	req.Header.Set(HeaderRequestID, co.RequestID)
 	req.Header.Set(HeaderGroup, co.Group)
 	req.Header.Set(HeaderFence, strconv.FormatUint(co.Fence, 10))
-	if ve := co.Before(); ve != nil {
+	if ve := co.BeforeSend(); ve != nil {
 		return ve
 	}
 	rsp, err := es.Transport.RoundTrip(req)
@@ -91,7 +91,7 @@
 	if ve := checkAnswer(rsp, co.RequestID); ve != nil {
 		return ve
 	}
-	return at.read(rsp.Body, co.Stall, emit)
+	return at.read(rsp.Body, co.StallTimeout, emit)
 }
 
 // checkAnswer refuses what is not the answer to this very request.
@@ -149,7 +149,7 @@
 	ch := Chunk{Usage: cb.Usage}
 	if len(cb.Choices) > 0 {
 		ch.Text = cb.Choices[0].Text + cb.Choices[0].Delta.Content
-		ch.Finish = cb.Choices[0].FinishReason
+		ch.FinishReason = cb.Choices[0].FinishReason
 	}
 	return ch, nil
 }
--- a/internal/endpoint/member.go
+++ b/internal/endpoint/member.go
@@ -36,7 +36,7 @@
 	Kind        string        `json:"kind"`
 	Incarnation string        `json:"incarnation"`
 	Fence       uint64        `json:"fence"`
-	Turn        uint64        `json:"turn"`
+	Generation  uint64        `json:"turn"`
 	Group       string        `json:"group,omitempty"`
 	Model       string        `json:"model,omitempty"`
 	Version     string        `json:"version,omitempty"`
@@ -65,16 +65,16 @@
 )
 
 // Members asks and orders the engines' members.
-type Members struct {
+type MemberClient struct {
 	// Transport is shared by all members; http.DefaultTransport when nil.
 	Transport http.RoundTripper
 }
 
-func (ms Members) client() *http.Client { return &http.Client{Transport: ms.Transport} }
+func (ms MemberClient) client() *http.Client { return &http.Client{Transport: ms.Transport} }
 
 // Probe asks the member at addr for its report. Refused tells that the
 // address refused the connection, so that no engine runs there.
-func (ms Members) Probe(ctx context.Context, addr string) (report *fleet.Report, refused bool, err error) {
+func (ms MemberClient) Probe(ctx context.Context, addr string) (report *fleet.Report, refused bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/member", nil)
@@ -99,7 +99,7 @@
 
 // Send delivers an order. A refusal is no error for the caller to mend: the
 // next plan starts from what the member reports.
-func (ms Members) Send(ctx context.Context, or fleet.Order) error {
+func (ms MemberClient) Send(ctx context.Context, or fleet.Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	raw, err := json.Marshal(orderBody(or))
@@ -125,16 +125,16 @@
 func orderBody(or fleet.Order) OrderBody {
 	switch or := or.(type) {
 	case fleet.Join:
-		body := OrderBody{Kind: KindJoin, Incarnation: or.Incarnation, Fence: or.Group.Fence, Turn: or.Generation,
+		body := OrderBody{Kind: KindJoin, Incarnation: or.Incarnation, Fence: or.Group.Fence, Generation: or.Generation,
 			Group: or.Group.ID, Model: or.Group.Model, Version: or.Group.Version, Role: or.Group.Role, Adapters: or.Group.Adapters}
 		for _, me := range or.Ring {
 			body.Ring = append(body.Ring, RingAddress{VM: me.VM, Address: me.Address})
 		}
 		return body
 	case fleet.Prepare:
-		return OrderBody{Kind: KindPrepare, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Generation, Model: or.Model, Version: or.Version}
+		return OrderBody{Kind: KindPrepare, Incarnation: or.Incarnation, Fence: or.Fence, Generation: or.Generation, Model: or.Model, Version: or.Version}
 	case fleet.Release:
-		return OrderBody{Kind: KindRelease, Incarnation: or.Incarnation, Fence: or.Fence, Turn: or.Generation}
+		return OrderBody{Kind: KindRelease, Incarnation: or.Incarnation, Fence: or.Fence, Generation: or.Generation}
 	}
 	return OrderBody{}
 }
--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -22,12 +22,12 @@
 	Header http.Header
 	Body   []byte
 	// Once means that the call must not run twice.
-	Once    bool
-	Timeout time.Duration
+	AtMostOnce bool
+	Timeout    time.Duration
 }
 
 // Answer is a service's whole answer.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -36,65 +36,65 @@
 const maxAnswerBytes = 8 << 20
 
 // Services calls plain services.
-type Services struct {
+type ServiceClient struct {
 	// Transport keeps connections for calls that may be repeated.
 	Transport http.RoundTripper
 	// OnceTransport never reuses a connection. net/http replays a request by
 	// itself when a reused connection fails and the request has an
 	// Idempotency-Key; on a fresh connection it never does.
-	OnceTransport http.RoundTripper
+	NoReuseTransport http.RoundTripper
 }
 
 // NewOnceTransport returns a transport for Services.OnceTransport.
-func NewOnceTransport() *http.Transport {
+func NewNoReuseTransport() *http.Transport {
 	tr := NewTransport(0)
 	tr.DisableKeepAlives = true
 	return tr
 }
 
 // Do makes the call and reads the answer whole.
-func (ss Services) Do(ctx context.Context, ca Call) (Answer, error) {
+func (ss ServiceClient) Do(ctx context.Context, ca Call) (Response, error) {
 	at := newAttempt(ctx, ca.Timeout)
 	defer at.end()
 	req, err := http.NewRequestWithContext(at.ctx, ca.Method, "http://"+ca.Address+ca.Path, bytes.NewReader(ca.Body))
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeBadRequest, "the call could not be made", err)
+		return Response{}, at.fail(verdict.CodeBadRequest, "the call could not be made", err)
 	}
 	if ca.Header != nil {
 		req.Header = ca.Header.Clone()
 	}
 	req.Header.Set(HeaderRequestID, ca.RequestID)
 	transport := ss.Transport
-	if ca.Once {
-		transport = ss.OnceTransport
+	if ca.AtMostOnce {
+		transport = ss.NoReuseTransport
 		req.GetBody = nil
 	}
 	rsp, err := transport.RoundTrip(req)
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeEndpointFailed, "the service did not answer", err)
+		return Response{}, at.fail(verdict.CodeEndpointFailed, "the service did not answer", err)
 	}
 	defer rsp.Body.Close()
 	return at.answer(rsp, ca)
 }
 
-func (at *attempt) answer(rsp *http.Response, ca Call) (Answer, error) {
+func (at *attempt) answer(rsp *http.Response, ca Call) (Response, error) {
 	if ve := refusal(rsp); ve != nil {
-		return Answer{}, ve
+		return Response{}, ve
 	}
 	if got := rsp.Header.Get(HeaderRequestID); got != "" && got != ca.RequestID {
-		return Answer{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
+		return Response{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
 			Message: "the service answered request " + strconv.Quote(got)}
 	}
 	// An answer that ends with its connection looks whole wherever it is cut.
 	if rsp.ContentLength < 0 && !slices.Contains(rsp.TransferEncoding, "chunked") {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
+		return Response{}, at.fail(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
 	}
 	body, err := io.ReadAll(io.LimitReader(rsp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer was cut off", err)
+		return Response{}, at.fail(verdict.CodeBrokenAnswer, "the answer was cut off", err)
 	}
 	if len(body) > maxAnswerBytes {
-		return Answer{}, at.fail(verdict.CodeBrokenAnswer, "the answer is too large", nil)
+		return Response{}, at.fail(verdict.CodeBrokenAnswer, "the answer is too large", nil)
 	}
-	return Answer{Status: rsp.StatusCode, Header: rsp.Header, Body: body}, nil
+	return Response{Status: rsp.StatusCode, Header: rsp.Header, Body: body}, nil
 }
--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -74,12 +74,12 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			addr, read := rudeServer(t)
-			ss := Services{Transport: NewTransport(4), OnceTransport: NewOnceTransport()}
+			ss := ServiceClient{Transport: NewTransport(4), NoReuseTransport: NewNoReuseTransport()}
 			warm := Call{Address: addr, Method: http.MethodGet, Path: "/", Timeout: time.Minute}
 			if _, err := ss.Do(context.Background(), warm); err != nil {
 				t.Fatal(err)
 			}
-			ca := Call{Address: addr, Method: http.MethodPost, Path: "/count", Body: tc.body, Once: true, Timeout: time.Minute,
+			ca := Call{Address: addr, Method: http.MethodPost, Path: "/count", Body: tc.body, AtMostOnce: true, Timeout: time.Minute,
 				Header: http.Header{"Idempotency-Key": {"k"}}}
 			_, err := ss.Do(context.Background(), ca)
 			if verdict.Of(err) != verdict.MayHaveRun {
@@ -134,7 +134,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			ss := Services{Transport: NewTransport(4)}
+			ss := ServiceClient{Transport: NewTransport(4)}
 			_, err := ss.Do(context.Background(), Call{RequestID: "mine", Address: respond(t, tc.answer), Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 			if tc.code == "" {
 				if err != nil {
@@ -158,7 +158,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	ss := Services{Transport: NewTransport(4)}
+	ss := ServiceClient{Transport: NewTransport(4)}
 	_, err = ss.Do(context.Background(), Call{Address: addr, Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 	if got := verdict.Of(err); got != verdict.NotRun {
 		t.Errorf("verdict = %s, want %s", got, verdict.NotRun)
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -81,7 +81,7 @@
 // a request yet: loads are free then. After a loss of all daemons none has served
 // either, and the weight store's limit holds.
 func (ct *control) initial() bool {
-	return ct.da.Settings.Bootstrap && !ct.served && ct.da.front.Served() == 0
+	return ct.da.Settings.Bootstrap && !ct.served && ct.da.front.Received() == 0
 }
 
 // recall tells a new steward of members that the last view named and the store
@@ -102,7 +102,7 @@
 func (ct *control) logEvents(evs []steward.Event) {
 	for _, ev := range evs {
 		if ev.Kind == steward.GroupHealthy {
-			ct.sound.note(mesh.Suspect{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
+			ct.sound.note(mesh.GroupRef{Group: ev.Group, Epoch: ev.Epoch}, ct.da.Clock.Now())
 			ct.da.table.MarkHealthy(ev.Group)
 			continue
 		}
@@ -230,7 +230,7 @@
 		return 0, nil, err
 	}
 	defer ex.Close()
-	da.front.HeardInCall(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
+	da.front.ApplyControlResponseHeader(catalog.Instance{ID: rq.Header.Get(platform.HeaderExpectEndpoint)}, ex.Response, sent)
 	body, err := ex.ReadAll(maxReport)
 	if err != nil {
 		return 0, nil, err
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -12,9 +12,9 @@
 
 // beatExtra is what a beat tells besides what all of them do.
 type beatExtra struct {
-	suspects []mesh.Suspect
+	suspects []mesh.GroupRef
 	// advancing are groups that were suspected and whose streams go on.
-	advancing []mesh.Suspect
+	advancing []mesh.GroupRef
 	change    *catalog.Change
 	to        mesh.Audience
 }
@@ -24,10 +24,10 @@
 	now := ct.da.Clock.Now()
 	ct.number++
 	set := ct.da.Settings
-	be := mesh.Beat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Taking: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Served() > 0,
-		Gone: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), Suspects: ex.suspects, Advancing: ex.advancing, Change: ex.change,
-		Power: int(set.CPUShare * 1000), Follows: ct.follows()}
+	be := mesh.Heartbeat{IP: set.IP, Started: ct.da.started, Number: ct.number, Name: set.Name, DataCenter: set.DataCenter,
+		Callers: set.Callers, Accepting: ct.da.taking(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
+		Departed: ct.gone.lately(now, ct.stewardKnowledge(), ct.follows()), StallReports: ex.suspects, ProgressReports: ex.advancing, Change: ex.change,
+		MilliCPU: int(set.CPUShare * 1000), FollowsStore: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
 		be.Config = co.Revision
 	}
@@ -41,9 +41,9 @@
 	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.settled() {
 		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
-		be.Silent = ct.da.mesh.Silent()
-		be.Sound = ct.sound.lately(now)
-		work.But = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
+		be.Unresponsive = ct.da.mesh.Unresponsive()
+		be.Healthy = ct.sound.lately(now)
+		work.Except = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
 	}
 	if err := ct.da.mesh.Send(be, work, ex.to); err != nil {
 		ct.da.Log.Error("control: beat not sent.", "cause", err.Error())
@@ -51,7 +51,7 @@
 }
 
 // beat takes in what another daemon told.
-func (ct *control) beat(be mesh.Beat) {
+func (ct *control) beat(be mesh.Heartbeat) {
 	now := ct.da.Clock.Now()
 	switch be.WorkOf {
 	case mesh.WorkOwn:
@@ -62,12 +62,12 @@
 	}
 	ct.served = ct.served || be.Served
 	ct.lease.promised(be)
-	ct.hearGone(be.Gone, now)
+	ct.hearGone(be.Departed, now)
 	if ct.lease.core != nil {
-		for _, su := range be.Suspects {
+		for _, su := range be.StallReports {
 			ct.lease.core.HandleStallReport(su.Group, su.Epoch, false, now)
 		}
-		for _, su := range be.Advancing {
+		for _, su := range be.ProgressReports {
 			ct.lease.core.HandleProgressReport(su.Group, su.Epoch, now)
 		}
 	}
@@ -75,7 +75,7 @@
 	ct.hearDeputy(be, now)
 	ct.hearQuarantine(be, now)
 	ct.hearBackpressure(be.Backpressure, now)
-	if ct.told == nil && be.Follows && be.Taking && !ct.follows() {
+	if ct.told == nil && be.FollowsStore && be.Accepting && !ct.follows() {
 		// No steward yet, as after a loss of all daemons: the groups that serve
 		// can be used by what a daemon that reads the store made of the entries.
 		ct.fetchView(be)
@@ -90,7 +90,7 @@
 	}
 	ct.steward, ct.heard = be, now
 	ct.da.mesh.SetSteward(be.IP)
-	for _, su := range be.Sound {
+	for _, su := range be.Healthy {
 		ct.da.table.MarkHealthy(su.Group)
 	}
 	ct.confirm(now.Add(-be.Age - hearDelay))
@@ -108,7 +108,7 @@
 
 // learnBackpressure evens out with a steward that was not heard before what either knows of
 // what endpoints said: one of both may have just started.
-func (ct *control) learnBackpressure(be mesh.Beat) {
+func (ct *control) learnBackpressure(be mesh.Heartbeat) {
 	ct.da.backpressure.ResendNotices()
 	ct.fetch("backpressure", func(ctx context.Context) func() {
 		words, err := ct.da.peers.Backpressure(ctx, be.IP)
@@ -122,7 +122,7 @@
 
 // learnView takes in the steward's new view: by what changed, if that came with
 // the beat and fits, and else by fetching all of it.
-func (ct *control) learnView(be mesh.Beat) {
+func (ct *control) learnView(be mesh.Heartbeat) {
 	if be.Change != nil {
 		if next := ct.told.Apply(be.Change); next != nil {
 			ct.hearView(next)
@@ -136,7 +136,7 @@
 const hearDelay = 10 * time.Millisecond
 
 // hearConfig fetches a configuration that another daemon has and this one not.
-func (ct *control) hearConfig(be mesh.Beat) {
+func (ct *control) hearConfig(be mesh.Heartbeat) {
 	co := ct.da.config.Load()
 	if be.Config == 0 || co != nil && co.Revision >= be.Config {
 		return
@@ -151,7 +151,7 @@
 	})
 }
 
-func (ct *control) fetchView(be mesh.Beat) {
+func (ct *control) fetchView(be mesh.Heartbeat) {
 	ct.fetch("view", func(ctx context.Context) func() {
 		vi, err := ct.da.peers.View(ctx, be.IP)
 		if err != nil {
--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -98,7 +98,7 @@
 
 	// steward is the last beat of the steward with the highest term, heard when
 	// it came.
-	steward mesh.Beat
+	steward mesh.Heartbeat
 	heard   time.Time
 	wg      sync.WaitGroup
 	// wrongAt is when an endpoint last was not the one expected.
@@ -210,13 +210,13 @@
 	ct.logTotals(now)
 	if now.After(ct.sweepDue) {
 		ct.sweepDue = now.Add(poolSweep)
-		ct.da.pool.Sweep()
+		ct.da.pool.CloseExpired()
 		ct.ends.sweep(now)
 		ct.da.quarantine.Sweep(now)
 		ct.da.backpressure.Sweep(now)
 		ct.shareBudgets()
 		ct.shareLimits(now)
-		ct.da.table.SetReportDelay(ct.da.mesh.LoadDelay())
+		ct.da.table.SetReportDelay(ct.da.mesh.ReportDelay())
 		ct.deputy.Store(ct.isDeputy(now))
 		ct.da.mesh.SetDeputy(ct.deputy.Load() && ct.follows())
 	}
@@ -227,7 +227,7 @@
 func (ct *control) shareBudgets() {
 	num := max(minBudgetDaemons, len(ct.da.mesh.Known()))
 	ct.da.front.Budget.SetSlack(ct.da.Settings.Bounds.RetrySlack * budgetShare / float64(num))
-	ct.da.front.SetDaemons(num)
+	ct.da.front.SetDaemonCount(num)
 	ct.da.table.SetDaemonCount(num)
 }
 
@@ -238,7 +238,7 @@
 		taking = append(taking, ct.da.Settings.IP)
 	}
 	for _, pe := range ct.da.mesh.Alive() {
-		if pe.Taking {
+		if pe.Accepting {
 			taking = append(taking, pe.IP)
 		}
 	}
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -33,9 +33,9 @@
 }
 
 // hearAll makes a beat of each other daemon come in.
-func (ct *control) hearAll(number uint64, be mesh.Beat) {
+func (ct *control) hearAll(number uint64, be mesh.Heartbeat) {
 	for i := range 39 {
-		be.IP, be.DataCenter, be.Number, be.Power = fmt.Sprint("10.0.0.", i+1), fmt.Sprint("dc-", i%2), number, 192
+		be.IP, be.DataCenter, be.Number, be.MilliCPU = fmt.Sprint("10.0.0.", i+1), fmt.Sprint("dc-", i%2), number, 192
 		ct.da.mesh.Accept(be)
 	}
 }
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -144,20 +144,20 @@
 	da.table = &dispatch.Table{DataCenter: set.DataCenter, Backpressure: da.backpressure}
 	da.plain = &dispatch.Plain{DataCenter: set.DataCenter, Backpressure: da.backpressure}
 	da.quarantine = &quarantine.Ledger{}
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(set.IP), Port: set.InnerPorts[0]})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(set.IP), Port: set.InternalPorts[0]})
 	if err != nil {
 		return eris.Wrap(err, "listen for daemons")
 	}
-	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InnerPorts[0],
-		OnBeat: func(be mesh.Beat) { da.control.post(func() { da.control.beat(be) }) }}
-	da.peers = mesh.NewClient(set.InnerPorts[1])
+	da.mesh = &mesh.Mesh{Clock: da.Clock, Log: da.Log, Conn: conn, IP: set.IP, DataCenter: set.DataCenter, Port: set.InternalPorts[0],
+		OnHeartbeat: func(be mesh.Heartbeat) { da.control.post(func() { da.control.beat(be) }) }}
+	da.peers = mesh.NewClient(set.InternalPorts[1])
 	da.front = &front.Server{Clock: da.Clock, Log: da.Log, Table: da.table, Plain: da.plain, Pool: da.pool,
 		Config: da.currentConfig, Stale: func() bool { return da.control.tooOld() },
-		OnLeaving:  func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
-		OnWrong:    func() { da.control.wrongEndpoint() },
-		Quarantine: da.quarantine, Backpressure: da.backpressure,
-		OnBrokenOff: func(bo front.BrokenOff) <-chan struct{} { return da.control.lookAfter(bo) },
-		OnAnswered:  func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
+		OnLeaving:   func(li catalog.Instance) { da.control.post(func() { da.control.saidLeaving(li) }) },
+		OnMisrouted: func() { da.control.wrongEndpoint() },
+		Quarantine:  da.quarantine, Backpressure: da.backpressure,
+		OnDisconnect: func(bo front.Disconnect) <-chan struct{} { return da.control.lookAfter(bo) },
+		OnCompletion: func(fp quarantine.Fingerprint) { da.control.post(func() { da.control.answered(fp) }) },
 		Budget: &dispatch.Budget{StartedAt: da.Clock.Now(), Ratio: set.Bounds.RetryRatio, Window: set.Bounds.RetryWindow,
 			Slack: set.Bounds.RetrySlack * budgetShare / minBudgetDaemons}}
 	da.control = newControl(da)
@@ -176,7 +176,7 @@
 	set := da.Settings
 	directory := &front.Directory{Log: da.Log, Addresses: da.addresses,
 		TTLSeconds: min(entryTTL, set.Bounds.MaxTTL.Seconds())}
-	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InnerPorts[1]))
+	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPorts[1]))
 	listeners := []struct {
 		name, addr string
 		handler    http.Handler
@@ -257,7 +257,7 @@
 		add(da.Settings.Callers, da.Settings.DataCenter)
 	}
 	for _, pe := range da.mesh.Alive() {
-		if pe.Taking {
+		if pe.Accepting {
 			add(pe.Callers, pe.DataCenter)
 		}
 	}
@@ -300,9 +300,9 @@
 	case <-ctx.Done():
 	}
 	begin := da.Clock.Now()
-	da.Log.Info("daemon: stopping.", "name", da.Settings.Name, "working", da.front.Working())
+	da.Log.Info("daemon: stopping.", "name", da.Settings.Name, "working", da.front.InFlight())
 	da.stopping.Store(true)
-	da.front.Stop()
+	da.front.SetStopping()
 	da.control.post(da.control.leave)
 	if da.Clock.Sleep(part, acceptFor) != nil {
 		return nil
@@ -310,7 +310,7 @@
 	limit, cancel := context.WithTimeout(part, da.Settings.Bounds.Grace-stopMargin-da.Clock.Now().Sub(begin))
 	defer cancel()
 	if err := callers.Shutdown(limit); err != nil {
-		da.Log.Warn("daemon: requests were cut off.", "working", da.front.Working(), "cause", err.Error())
+		da.Log.Warn("daemon: requests were cut off.", "working", da.front.InFlight(), "cause", err.Error())
 	}
 	return nil
 }
--- a/internal/entry/deputies.go
+++ b/internal/entry/deputies.go
@@ -68,9 +68,9 @@
 // hearDeputy takes in how fresh a daemon of the same data centre is that follows
 // the store. Its configuration must be in force here; what it saw leave came
 // with the same beat.
-func (ct *control) hearDeputy(be mesh.Beat, now time.Time) {
+func (ct *control) hearDeputy(be mesh.Heartbeat, now time.Time) {
 	co := ct.da.config.Load()
-	if !be.Follows || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
+	if !be.FollowsStore || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
 		return
 	}
 	ct.mu.Lock()
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -12,14 +12,14 @@
 // the store at once. The others rely on them, as long as they tell what the
 // store confirms and nothing newer than these know.
 func TestDeputies(t *testing.T) {
-	fresh := mesh.Beat{IP: "10.0.0.1", DataCenter: "dc-0", Follows: true, Config: 5}
+	fresh := mesh.Heartbeat{IP: "10.0.0.1", DataCenter: "dc-0", FollowsStore: true, Config: 5}
 	newer, elsewhere, idle := fresh, fresh, fresh
-	newer.Config, elsewhere.DataCenter, idle.Follows = 6, "dc-1", false
+	newer.Config, elsewhere.DataCenter, idle.FollowsStore = 6, "dc-1", false
 	tests := []struct {
 		name  string
 		power int
 		// heard is what a deputy tells after staleAfter.
-		heard *mesh.Beat
+		heard *mesh.Heartbeat
 		// atOnce and later say whether the daemon follows right then, and after
 		// deputyPatience.
 		atOnce, later bool
@@ -38,7 +38,7 @@
 			ct.confirmed = cl.Now()
 			ct.deputyAt = cl.Now()
 			cl.Advance(staleAfter + time.Millisecond)
-			ct.hearAll(1, mesh.Beat{})
+			ct.hearAll(1, mesh.Heartbeat{})
 			if tc.heard != nil {
 				ct.hearDeputy(*tc.heard, cl.Now())
 			}
@@ -47,7 +47,7 @@
 				t.Errorf("follows at once: %v, want %v", got, tc.atOnce)
 			}
 			cl.Advance(deputyPatience)
-			ct.hearAll(2, mesh.Beat{})
+			ct.hearAll(2, mesh.Heartbeat{})
 			ct.stepFollowing(cl.Now())
 			if got := ct.follows(); got != tc.later {
 				t.Errorf("follows after %v: %v, want %v", deputyPatience, got, tc.later)
@@ -66,7 +66,7 @@
 		ct, cl := newLoneControl(800)
 		ct.da.Settings.IP, ct.da.mesh.IP = tc.ip, tc.ip
 		ct.confirmed = cl.Now().Add(-staleAfter)
-		ct.hearAll(1, mesh.Beat{})
+		ct.hearAll(1, mesh.Heartbeat{})
 		ct.joined = true
 		cl.Advance(time.Millisecond)
 		ct.stepFollowing(cl.Now())
@@ -90,13 +90,13 @@
 	cl.Advance(time.Minute)
 	ct.confirmed = cl.Now()
 	cl.Advance(staleAfter + time.Millisecond)
-	ct.hearAll(1, mesh.Beat{})
+	ct.hearAll(1, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store before the deputies had time to")
 	}
 	cl.Advance(deputyPatience)
-	ct.hearAll(2, mesh.Beat{})
+	ct.hearAll(2, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
 		t.Error("does not follow the store though the deputies are silent")
@@ -150,13 +150,13 @@
 	ct, cl := newLoneControl(192)
 	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
 	cl.Advance(time.Minute)
-	ct.hearAll(1, mesh.Beat{})
+	ct.hearAll(1, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
 	if !ct.follows() {
 		t.Fatal("does not follow the store although nobody was heard")
 	}
 	ct.confirmed = cl.Now()
-	ct.hearDeputy(mesh.Beat{IP: "10.0.0.2", DataCenter: "dc-0", Follows: true, Config: 5}, cl.Now())
+	ct.hearDeputy(mesh.Heartbeat{IP: "10.0.0.2", DataCenter: "dc-0", FollowsStore: true, Config: 5}, cl.Now())
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store although a deputy does")
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -35,7 +35,7 @@
 
 // lookAfter looks whether the endpoint that closed the connection has ended. What it
 // returns is closed once that is known.
-func (ct *control) lookAfter(bo front.BrokenOff) <-chan struct{} {
+func (ct *control) lookAfter(bo front.Disconnect) <-chan struct{} {
 	known := make(chan struct{})
 	ct.post(func() { ct.brokenOff(bo, known) })
 	return known
@@ -44,7 +44,7 @@
 // brokenOff takes in that an endpoint closed the connection while it had a request, and looks
 // whether it has ended. Endpoints also break off answers, lose them, or close connections
 // beyond a limit, and go on; of that their requests are no cause.
-func (ct *control) brokenOff(bo front.BrokenOff, known chan struct{}) {
+func (ct *control) brokenOff(bo front.Disconnect, known chan struct{}) {
 	now := ct.da.Clock.Now()
 	ec := ct.ends[bo.Endpoint]
 	switch {
@@ -64,7 +64,7 @@
 }
 
 // look finds out whether an endpoint has ended.
-func (ct *control) look(ctx context.Context, bo front.BrokenOff, ec *endCheck) {
+func (ct *control) look(ctx context.Context, bo front.Disconnect, ec *endCheck) {
 	if ct.da.Clock.Sleep(ctx, endPause) != nil {
 		return
 	}
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -184,7 +184,7 @@
 	ct.da.Log.Info("control: endpoint started again.", "endpoint", ep.ID, "service", ep.Service,
 		"incarnation", ep.Incarnation, "before", had.Incarnation, "revision", ep.Revision)
 	ct.newGone = ct.gone.note(had.Instance(), ct.da.Clock.Now()) || ct.newGone
-	ct.da.pool.Drop(had.Address)
+	ct.da.pool.CloseIdle(had.Address)
 }
 
 func (ct *control) unregister(id string) {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -35,11 +35,11 @@
 		before, then func(sk *stack)
 	}{
 		{"sound", func(*stack) {}, func(*stack) {}},
-		{"one daemon is cut off from the store", func(sk *stack) { sk.daemons[1].gate.SetFault(emulator.Silent) }, func(*stack) {}},
-		{"the steward is cut off from the store", func(sk *stack) { sk.steward().gate.SetFault(emulator.Silent) }, func(*stack) {}},
-		{"history is dropped unseen", func(sk *stack) { sk.de.Store.Mute(true) }, func(sk *stack) {
+		{"one daemon is cut off from the store", func(sk *stack) { sk.daemons[1].gate.SetFault(emulator.Unresponsive) }, func(*stack) {}},
+		{"the steward is cut off from the store", func(sk *stack) { sk.steward().gate.SetFault(emulator.Unresponsive) }, func(*stack) {}},
+		{"history is dropped unseen", func(sk *stack) { sk.de.Store.MuteWatches(true) }, func(sk *stack) {
 			sk.de.Store.Compact()
-			sk.de.Store.Mute(false)
+			sk.de.Store.MuteWatches(false)
 		}},
 		{"the steward dies", func(*stack) {}, func(sk *stack) { sk.kill(sk.steward()) }},
 	}
@@ -83,7 +83,7 @@
 			}
 			id := "desk-8"
 			if how == "gone" {
-				sk.de.Forget(id)
+				sk.de.Deregister(id)
 			} else {
 				sk.de.Leave(id)
 			}
@@ -119,7 +119,7 @@
 		}
 		return true
 	})
-	sk.de.Forget(id)
+	sk.de.Deregister(id)
 	quiet := func(ru *running) bool {
 		before := len(sv.Runs())
 		for range 10 {
@@ -130,7 +130,7 @@
 	for _, ru := range sk.daemons {
 		sk.until("the endpoint is left alone", func() bool { return quiet(ru) })
 	}
-	st.gate.SetFault(emulator.Sound)
+	st.gate.SetFault(emulator.NoStoreFault)
 	sk.until("the steward's word is taken again", func() bool {
 		for _, ru := range sk.daemons {
 			if ru != st && ru.da.control.follows() {
@@ -158,7 +158,7 @@
 	for i := range cap(answers) {
 		go func() { answers <- sk.ask(ru, "/draft/", fmt.Sprint("stop-", i)) }()
 	}
-	sk.until("streams under way", func() bool { return ru.da.front.Working() == int64(cap(answers)) })
+	sk.until("streams under way", func() bool { return ru.da.front.InFlight() == int64(cap(answers)) })
 	ru.stop()
 	late := sk.ask(ru, "/slot/", "late")
 	for range cap(answers) {
@@ -183,7 +183,7 @@
 func TestMemberDies(t *testing.T) {
 	sk := newStack(t, 3)
 	lost := sk.loseMember(sk.daemons[0])
-	sk.de.Forget(lost)
+	sk.de.Deregister(lost)
 	for _, ru := range sk.daemons {
 		sk.until("served by whole groups only", func() bool {
 			return !uses(ru, lost) && sk.ask(ru, "/draft/", "after") == wholeStream("after")
@@ -202,7 +202,7 @@
 	}
 	lost := sk.daemons[0].da.view.Load().Groups[0].Members[1].ID
 	sk.de.Kill(lost)
-	sk.de.Forget(lost)
+	sk.de.Deregister(lost)
 	usesLost := func(ru *running) bool { return uses(ru, lost) }
 	old := sk.steward()
 	sk.until("the lost member is in no daemon's view", func() bool { return !slices.ContainsFunc(sk.daemons, usesLost) })
@@ -223,7 +223,7 @@
 // The store is away. Requests are served all the same, and a daemon that
 // starts then learns what it needs from the others.
 func TestStoreAway(t *testing.T) {
-	for _, fault := range []emulator.StoreFault{emulator.Silent, emulator.Busy} {
+	for _, fault := range []emulator.StoreFault{emulator.Unresponsive, emulator.Busy} {
 		sk := newStack(t, 3)
 		for _, ru := range sk.daemons {
 			ru.gate.SetFault(fault)
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -96,7 +96,7 @@
 		})
 	}
 	items, _, err := fo.ct.da.store.Watch(ctx, fo.prefix, fo.after, watchWait)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		fo.ct.da.Log.Info("store: history is gone, reading all.", "prefix", fo.prefix)
 		fo.after = 0
 		return nil
--- a/internal/entry/gone_test.go
+++ b/internal/entry/gone_test.go
@@ -87,7 +87,7 @@
 	cl.Advance(time.Second)
 	ct.hearGone([]catalog.Instance{{ID: "i-1"}}, cl.Now())
 	hear := func(confirmed time.Time) {
-		ct.steward, ct.heard = mesh.Beat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
+		ct.steward, ct.heard = mesh.Heartbeat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
 		ct.gone.lately(cl.Now(), ct.stewardKnowledge(), false)
 		ct.updateView()
 	}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -58,7 +58,7 @@
 type running struct {
 	da   *Daemon
 	ip   string
-	gate *emulator.Gate
+	gate *emulator.StoreProxy
 	// kill ends the daemon without any farewell, stop tells it to stop.
 	kill, stop context.CancelFunc
 	dead       context.Context
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	sk := &stack{t: t, ctx: ctx, subnet: <-subnets, log: &logBuffer{}, client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-		de: &emulator.Deployment{Models: 7, Desks: 2, EventEvery: 20 * time.Millisecond}}
+		de: &emulator.Deployment{ModelServers: 7, PlainServers: 2, EventInterval: 20 * time.Millisecond}}
 	if err := sk.de.Start(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 		sk.start(i)
 	}
 	sk.until("all daemons serve", func() bool {
-		if len(sk.daemons) > 0 && sk.members(sk.daemons[0]) < sk.de.Models-1 {
+		if len(sk.daemons) > 0 && sk.members(sk.daemons[0]) < sk.de.ModelServers-1 {
 			return false
 		}
 		return !slices.ContainsFunc(sk.daemons, func(ru *running) bool { return sk.ask(ru, "/draft/", "warm-up") != wholeStream("warm-up") })
@@ -113,7 +113,7 @@
 // start starts the daemon of that number, or starts it anew.
 func (sk *stack) start(num int) *running {
 	sk.t.Helper()
-	gate, store, err := sk.de.OpenGate()
+	gate, store, err := sk.de.OpenStoreProxy()
 	if err != nil {
 		sk.t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 		return nil
 	}
 	defer rsp.Body.Close()
-	var an platform.ResolveAnswer
+	var an platform.ResolveResponse
 	if json.NewDecoder(rsp.Body).Decode(&an) != nil {
 		return nil
 	}
--- a/internal/entry/join.go
+++ b/internal/entry/join.go
@@ -68,7 +68,7 @@
 
 // knowDaemons takes in who is there.
 func (ct *control) knowDaemons(ips []string) {
-	ct.da.mesh.Know(ips)
+	ct.da.mesh.AddPeers(ips)
 	ct.post(func() {
 		ct.joined = true
 		ct.shareBudgets()
@@ -85,7 +85,7 @@
 			seeds = append(seeds, host)
 		}
 	}
-	ct.da.mesh.Know(seeds)
+	ct.da.mesh.AddPeers(seeds)
 	for ctx.Err() == nil {
 		for _, ip := range seeds {
 			more, err := ct.da.peers.Daemons(ctx, ip)
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -130,7 +130,7 @@
 // larger machine first, since the steward has several times the work.
 func (ct *control) before(pe mesh.Peer) bool {
 	own := int(ct.da.Settings.CPUShare * 1000)
-	return pe.Power > own || pe.Power == own && pe.IP < ct.da.Settings.IP
+	return pe.MilliCPU > own || pe.MilliCPU == own && pe.IP < ct.da.Settings.IP
 }
 
 const (
@@ -174,7 +174,7 @@
 	if err != nil {
 		ct.da.Log.Info("steward: lease not taken.", "cause", err.Error())
 		// A write that is carried out late must find its lease ended.
-		_ = ct.da.store.End(ctx, lease) // It ends by itself soon.
+		_ = ct.da.store.Revoke(ctx, lease) // It ends by itself soon.
 		return
 	}
 	renewing, resign := context.WithCancel(ctx)
@@ -194,7 +194,7 @@
 // would else lose members unrepaired until the store is back.
 func (ct *control) endLease(ctx context.Context, lease int64) {
 	for ctx.Err() == nil {
-		err := ct.da.store.End(ctx, lease)
+		err := ct.da.store.Revoke(ctx, lease)
 		if err == nil || errors.Is(err, platform.ErrNoLease) {
 			return
 		}
@@ -232,7 +232,7 @@
 		}
 	}
 	di := net.Dialer{Timeout: provePatience}
-	nc, err := di.DialContext(ctx, "tcp", net.JoinHostPort(ho.IP, strconv.Itoa(ct.da.Settings.InnerPorts[1])))
+	nc, err := di.DialContext(ctx, "tcp", net.JoinHostPort(ho.IP, strconv.Itoa(ct.da.Settings.InternalPorts[1])))
 	if err == nil {
 		nc.Close()
 	}
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -13,10 +13,10 @@
 // the endpoint until the store says the same, and the steward replaces it no sooner.
 func TestLeavingInAnswerIsTold(t *testing.T) {
 	sk := newStack(t, 3)
-	sk.setStore(emulator.Silent)
+	sk.setStore(emulator.Unresponsive)
 	id := sk.de.IDs("desk")[0]
 	desk := sk.de.Server(id)
-	desk.SetNeed(emulator.Need{Leaving: true})
+	desk.SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("one daemon is told", func() bool {
 		before := len(desk.Arrivals())
 		sk.ask(sk.daemons[0], "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
@@ -54,13 +54,13 @@
 			head = gr.Members[0].ID
 		}
 	}
-	sk.de.Server(head).SetNeed(emulator.Need{Leaving: true})
+	sk.de.Server(head).SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("its group is left", func() bool {
 		sk.ask(ru, "/draft/", fmt.Sprint("told-", time.Now().UnixNano()))
 		return !slices.ContainsFunc(sk.daemons, func(ru *running) bool { return uses(ru, head) })
 	})
 	sk.until("all but the leaving VM serve again", func() bool {
-		return sk.members(ru) >= sk.de.Models-2 && !uses(ru, head)
+		return sk.members(ru) >= sk.de.ModelServers-2 && !uses(ru, head)
 	})
 	sk.checkPromises()
 }
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -25,7 +25,7 @@
 	const perSecond = 1.0
 	sk := newStack(t, 4)
 	limited := sk.de.Server(sk.de.IDs("desk")[0])
-	limited.SetNeed(emulator.Need{Limit: fmt.Sprint(perSecond)})
+	limited.SetBackpressure(emulator.Backpressure{Limit: fmt.Sprint(perSecond)})
 	begin := time.Now()
 	for num := 0; time.Since(begin) < limitLearnt+limitWindow; num++ {
 		ru := sk.daemons[num%len(sk.daemons)]
@@ -35,10 +35,10 @@
 		time.Sleep(15 * time.Millisecond)
 	}
 	allowed := limitRatio*perSecond*limitWindow.Seconds() + limitSlack
-	if num := limited.Busiest(limitWindow, begin.Add(limitLearnt)); float64(num) > allowed {
+	if num := limited.PeakArrivals(limitWindow, begin.Add(limitLearnt)); float64(num) > allowed {
 		t.Errorf("%d requests in %s, allowed %.0f", num, limitWindow, allowed)
 	}
-	if num := limited.Busiest(limitWindow, begin.Add(limitLearnt)); num == 0 {
+	if num := limited.PeakArrivals(limitWindow, begin.Add(limitLearnt)); num == 0 {
 		t.Error("no request at all")
 	}
 }
@@ -54,10 +54,10 @@
 
 // untilAllLeaveItToFew has one daemon told what a desk needs, and waits until all know, also one
 // that starts then.
-func (sk *stack) untilAllLeaveItToFew(id string, need emulator.Need) {
+func (sk *stack) untilAllLeaveItToFew(id string, need emulator.Backpressure) {
 	sk.t.Helper()
 	desk := sk.de.Server(id)
-	desk.SetNeed(need)
+	desk.SetBackpressure(need)
 	told := sk.daemons[len(sk.daemons)-1]
 	sk.until("one daemon is told", func() bool {
 		sk.ask(told, "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
@@ -79,5 +79,5 @@
 // tell the steward alone, or where one has just started.
 func TestLimitAmongManyDaemons(t *testing.T) {
 	sk := newCrowd(t)
-	sk.untilAllLeaveItToFew(sk.de.IDs("desk")[0], emulator.Need{Limit: "2"})
+	sk.untilAllLeaveItToFew(sk.de.IDs("desk")[0], emulator.Backpressure{Limit: "2"})
 }
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -53,7 +53,7 @@
 		{`corianderhub_daemons{state="known"}`, func() float64 { return float64(len(da.mesh.Known())) }},
 		{"corianderhub_endpoints_limited", func() float64 { return float64(da.backpressure.NumLimited()) }},
 		{"corianderhub_endpoints_resting", func() float64 { return float64(da.backpressure.NumBackingOff(da.Clock.Now())) }},
-		{"corianderhub_requests_in_progress", func() float64 { return float64(da.front.Working()) }},
+		{"corianderhub_requests_in_progress", func() float64 { return float64(da.front.InFlight()) }},
 		{"corianderhub_retry_budget_left", da.leastBudget},
 		{`corianderhub_group_requests{of="own"}`, func() float64 { return float64(da.table.Requests(false)) }},
 		{`corianderhub_group_requests{of="all"}`, func() float64 { return float64(da.table.Requests(true)) }},
--- a/internal/entry/promise.go
+++ b/internal/entry/promise.go
@@ -56,7 +56,7 @@
 }
 
 // promised takes in what another daemon has heard of this steward.
-func (sh *stewardship) promised(be mesh.Beat) {
+func (sh *stewardship) promised(be mesh.Heartbeat) {
 	if sh.core == nil {
 		return
 	}
@@ -64,23 +64,23 @@
 		// A daemon that has just started waits longer, whatever it has heard.
 		sh.promises[be.IP] = promise{be.Started, clock.SinceBoot() - be.Uptime + startSilence}
 	}
-	if be.HeardTerm != sh.term {
+	if be.AckTerm != sh.term {
 		return
 	}
-	if at, ok := sh.sentAt[be.HeardNumber]; ok {
-		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardSilence, be.HeardFor))}
+	if at, ok := sh.sentAt[be.AckNumber]; ok {
+		sh.promises[be.IP] = promise{be.Started, at + min(maxPromise, max(stewardSilence, be.PromiseDuration))}
 	}
 }
 
 // promise makes a beat promise the steward not to look at the lease for a while, and
 // notes that.
-func (ct *control) promise(be *mesh.Beat) {
+func (ct *control) promise(be *mesh.Heartbeat) {
 	if ct.campaigning || ct.heard.IsZero() {
 		return
 	}
-	be.HeardTerm, be.HeardNumber = ct.steward.Term, ct.steward.Number
-	be.HeardFor = min(maxPromise, ct.patience())
-	if until := ct.heard.Add(be.HeardFor); until.After(ct.promisedUntil) {
+	be.AckTerm, be.AckNumber = ct.steward.Term, ct.steward.Number
+	be.PromiseDuration = min(maxPromise, ct.patience())
+	if until := ct.heard.Add(be.PromiseDuration); until.After(ct.promisedUntil) {
 		ct.promisedUntil = until
 	}
 }
@@ -107,7 +107,7 @@
 // that leaves will not become steward.
 func (ct *control) unpromised() []string {
 	now := clock.SinceBoot()
-	heard := ct.da.mesh.HeardWithin(electorateSpan)
+	heard := ct.da.mesh.AliveWithin(electorateSpan)
 	started := make(map[string]int64, len(heard))
 	for _, pe := range heard {
 		started[pe.Name] = max(started[pe.Name], pe.Started)
--- a/internal/entry/promise_test.go
+++ b/internal/entry/promise_test.go
@@ -31,12 +31,12 @@
 			ct, _ := newLoneControl(800)
 			other, _ := newLoneControl(192)
 			for i := range 39 {
-				other.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
+				other.da.mesh.AddPeers([]string{fmt.Sprint("10.0.1.", i)})
 			}
 			ct.lease = stewardship{core: steward.New(7, ct.begun), term: 7,
 				sentAt: map[uint64]time.Duration{3: clock.SinceBoot() - tc.late}, promises: make(map[string]promise)}
-			be := mesh.Beat{Started: 1, Uptime: time.Minute}
-			other.steward, other.heard = mesh.Beat{Term: 7, Number: 3}, other.begun
+			be := mesh.Heartbeat{Started: 1, Uptime: time.Minute}
+			other.steward, other.heard = mesh.Heartbeat{Term: 7, Number: 3}, other.begun
 			other.promise(&be)
 			ct.hearAll(1, be)
 			for i := range 39 {
@@ -55,11 +55,11 @@
 func TestPromiseIsKept(t *testing.T) {
 	ct, cl := newLoneControl(192)
 	ct.heard, ct.rank = cl.Now(), 3
-	var be mesh.Beat
+	var be mesh.Heartbeat
 	ct.promise(&be)
 	ct.rank = 0
-	if left := ct.promisedUntil.Sub(cl.Now()); left < be.HeardFor {
-		t.Errorf("promised for %v, looks at the lease after %v", be.HeardFor, left)
+	if left := ct.promisedUntil.Sub(cl.Now()); left < be.PromiseDuration {
+		t.Errorf("promised for %v, looks at the lease after %v", be.PromiseDuration, left)
 	}
 }
 
@@ -90,11 +90,11 @@
 func TestReplacedDaemonOwesNoPromise(t *testing.T) {
 	ct, _ := newLoneControl(800)
 	ct.lease = stewardship{core: steward.New(7, ct.begun), term: 7, promises: make(map[string]promise)}
-	ct.da.mesh.Accept(mesh.Beat{IP: "10.0.0.1", Name: "entry-1", Started: 1, Number: 1})
+	ct.da.mesh.Accept(mesh.Heartbeat{IP: "10.0.0.1", Name: "entry-1", Started: 1, Number: 1})
 	if ct.holds() {
 		t.Fatal("holds without the promise of a daemon that was heard just now")
 	}
-	next := mesh.Beat{IP: "10.0.0.2", Name: "entry-1", Started: 2, Number: 1, Uptime: time.Millisecond}
+	next := mesh.Heartbeat{IP: "10.0.0.2", Name: "entry-1", Started: 2, Number: 1, Uptime: time.Millisecond}
 	ct.da.mesh.Accept(next)
 	ct.lease.promised(next)
 	if !ct.holds() {
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -128,7 +128,7 @@
 }
 
 // tellFor is how long the others are told of something.
-func (ct *control) tellFor() time.Duration { return tellTimes * ct.da.mesh.ToldWithin() }
+func (ct *control) tellFor() time.Duration { return tellTimes * ct.da.mesh.WorkInterval() }
 
 // retell tells again what this daemon has seen, where daemons are many: nobody but the
 // steward counts the ends there, and a new one may not have heard of them.
@@ -144,7 +144,7 @@
 }
 
 // tellQuarantine adds to a beat what the others are to know of requests that end endpoints.
-func (ct *control) tellQuarantine(be *mesh.Beat, now time.Time) {
+func (ct *control) tellQuarantine(be *mesh.Heartbeat, now time.Time) {
 	be.Quarantine = ct.da.quarantine.Digest(now)
 	told := 0
 	for _, te := range slices.Backward(ct.quarantine.tellings) {
@@ -155,20 +155,20 @@
 			return
 		}
 		if te.ended != nil {
-			be.Ended = append(be.Ended, *te.ended)
+			be.Crashes = append(be.Crashes, *te.ended)
 		} else {
-			be.Answered = append(be.Answered, *te.answered)
+			be.Completions = append(be.Completions, *te.answered)
 		}
 	}
 }
 
 // hearQuarantine takes in what another daemon told of them. What it has quarantined and this
 // one has not is fetched.
-func (ct *control) hearQuarantine(be mesh.Beat, now time.Time) {
-	for _, en := range be.Ended {
+func (ct *control) hearQuarantine(be mesh.Heartbeat, now time.Time) {
+	for _, en := range be.Crashes {
 		ct.hearEnd(en, now)
 	}
-	for _, an := range be.Answered {
+	for _, an := range be.Completions {
 		ct.da.quarantine.RecordCompletion(an, now)
 	}
 	if be.Quarantine == 0 || be.Quarantine == ct.da.quarantine.Digest(now) || now.Sub(ct.quarantine.fetchedAt) < fetchPause {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -28,10 +28,10 @@
 
 // crashes makes model servers end under the request that ends them.
 func (sk *stack) crashes() {
-	sk.de.BackAfter = 300 * time.Millisecond
+	sk.de.ReplacementDelay = 300 * time.Millisecond
 	sk.de.SetModelFault(func(req *http.Request) emulator.Fault {
 		if strings.HasPrefix(req.URL.Path, crashing) {
-			return emulator.Ends
+			return emulator.Crashes
 		}
 		return emulator.None
 	})
@@ -59,7 +59,7 @@
 	sk := newStack(t, 3)
 	sk.crashes()
 	sk.sendCrashing(12)
-	if num := sk.de.Ended(); num < endsUntilKnown || num > endsUntilKnown+laterEnds {
+	if num := sk.de.Crashes(); num < endsUntilKnown || num > endsUntilKnown+laterEnds {
 		t.Errorf("%d servers ended under one request", num)
 	}
 	sk.checkPromises()
@@ -78,9 +78,9 @@
 	for num := range sk.daemons {
 		sk.start(num)
 	}
-	before := sk.de.Ended()
+	before := sk.de.Crashes()
 	sk.sendCrashing(4)
-	if num := sk.de.Ended() - before; num > 0 {
+	if num := sk.de.Crashes() - before; num > 0 {
 		t.Errorf("%d servers ended more", num)
 	}
 }
@@ -104,7 +104,7 @@
 func TestQuarantineWhileStoreAway(t *testing.T) {
 	sk := newStack(t, 3)
 	sk.crashes()
-	sk.setStore(emulator.Silent)
+	sk.setStore(emulator.Unresponsive)
 	sk.until("quarantined by the daemon that is asked", func() bool {
 		sk.ask(sk.daemons[0], crashing, fmt.Sprint("crash-", time.Now().UnixNano()))
 		return sk.daemons[0].da.quarantine.Digest(time.Now()) != 0
@@ -112,7 +112,7 @@
 	for _, ru := range sk.daemons[1:] {
 		sk.until("quarantined by the others", func() bool { return ru.da.quarantine.Digest(time.Now()) != 0 })
 	}
-	sk.setStore(emulator.Sound)
+	sk.setStore(emulator.NoStoreFault)
 	sk.until("the store names it", func() bool { return len(sk.quarantinedAtStore()) == 1 })
 }
 
@@ -136,7 +136,7 @@
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.brokenOff(front.BrokenOff{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.brokenOff(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
 			_, held := ct.da.quarantine.Quarantined(fp, time.Now())
@@ -152,14 +152,14 @@
 func TestNewStewardIsToldOfEnds(t *testing.T) {
 	ct, cl := newLoneControl(192)
 	for i := range 39 {
-		ct.da.mesh.Know([]string{fmt.Sprint("10.0.1.", i)})
+		ct.da.mesh.AddPeers([]string{fmt.Sprint("10.0.1.", i)})
 	}
 	fp := quarantine.Fingerprint{1}
 	ct.tell(telling{ended: &quarantine.Crash{Endpoint: "s1", Requests: []quarantine.Fingerprint{fp}}, at: cl.Now()})
 	told := func() int {
-		var be mesh.Beat
+		var be mesh.Heartbeat
 		ct.tellQuarantine(&be, cl.Now())
-		return len(be.Ended)
+		return len(be.Crashes)
 	}
 	if told() != 1 {
 		t.Fatal("an end is not told of")
--- a/internal/entry/rest_test.go
+++ b/internal/entry/rest_test.go
@@ -10,5 +10,5 @@
 // and tell the steward alone, or where one has just started.
 func TestRestAmongManyDaemons(t *testing.T) {
 	sk := newCrowd(t)
-	sk.untilAllLeaveItToFew(sk.de.IDs("desk")[0], emulator.Need{Sheds: true, Rest: "60"})
+	sk.untilAllLeaveItToFew(sk.de.IDs("desk")[0], emulator.Backpressure{Sheds: true, RetryAfter: "60"})
 }
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -27,10 +27,10 @@
 	}
 	direct := ct.da.mesh.Direct()
 	ownProbe := direct || ct.lease.core == nil && now.Sub(ct.heard) > manyStewardLate
-	var suspects []mesh.Suspect
+	var suspects []mesh.GroupRef
 	for _, gr := range stalled {
 		ct.da.Log.Info("control: group stands still.", "group", gr.Name, "epoch", gr.Epoch)
-		suspects = append(suspects, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+		suspects = append(suspects, mesh.GroupRef{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
 			ct.lease.core.HandleStallReport(gr.Name, gr.Epoch, true, now)
 		}
@@ -52,9 +52,9 @@
 // and whose streams go on: all their members are alive, whoever leaves a question
 // unanswered.
 func (ct *control) tellAdvancing(now time.Time) {
-	var groups []mesh.Suspect
+	var groups []mesh.GroupRef
 	for _, gr := range ct.da.table.RecoveredGroups() {
-		groups = append(groups, mesh.Suspect{Group: gr.Name, Epoch: gr.Epoch})
+		groups = append(groups, mesh.GroupRef{Group: gr.Name, Epoch: gr.Epoch})
 		if ct.lease.core != nil {
 			ct.lease.core.HandleProgressReport(gr.Name, gr.Epoch, now)
 		}
@@ -75,18 +75,18 @@
 
 // soundGroups are groups that the steward has found sound after they had been
 // suspected, until when the others are told.
-type soundGroups map[mesh.Suspect]time.Time
+type soundGroups map[mesh.GroupRef]time.Time
 
 // tellSound is how long the others are told; a beat or two may be lost. It is
 // less than checkAgain in package dispatch, so that a group that is suspected
 // anew is not cleared by an old answer.
 const tellSound = 350 * time.Millisecond
 
-func (sg soundGroups) note(su mesh.Suspect, now time.Time) { sg[su] = now.Add(tellSound) }
+func (sg soundGroups) note(su mesh.GroupRef, now time.Time) { sg[su] = now.Add(tellSound) }
 
 // lately returns the groups to tell of and forgets old ones.
-func (sg soundGroups) lately(now time.Time) []mesh.Suspect {
-	var lately []mesh.Suspect
+func (sg soundGroups) lately(now time.Time) []mesh.GroupRef {
+	var lately []mesh.GroupRef
 	for su, until := range sg {
 		if now.After(until) {
 			delete(sg, su)
--- a/internal/entry/steward_test.go
+++ b/internal/entry/steward_test.go
@@ -53,10 +53,10 @@
 func TestLostAnswersOfStore(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	sk.setStore(emulator.LosesAnswers)
+	sk.setStore(emulator.DropsResponses)
 	sk.kill(old)
 	time.Sleep(100 * time.Millisecond)
-	sk.setStore(emulator.Sound)
+	sk.setStore(emulator.NoStoreFault)
 	if next := sk.steward(); next == old {
 		t.Error("the killed daemon is steward still")
 	}
@@ -79,7 +79,7 @@
 	}
 	for _, ru := range sk.daemons {
 		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
-		ru.gate.SetFault(emulator.Sound)
+		ru.gate.SetFault(emulator.NoStoreFault)
 	}
 	sk.until("the lease is held again", func() bool {
 		_, ok := sk.de.Store.Value(stewardKey)
@@ -93,7 +93,7 @@
 func TestSilentStewardStops(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	old.gate.SetFault(emulator.Silent)
+	old.gate.SetFault(emulator.Unresponsive)
 	old.da.mesh.Conn.Close()
 	sk.until("another steward", func() bool { return sk.steward() != old })
 	is := make(chan bool, 1)
@@ -119,7 +119,7 @@
 	for _, ru := range sk.daemons {
 		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == wholeStream("after") })
 	}
-	sk.setStore(emulator.Sound)
+	sk.setStore(emulator.NoStoreFault)
 	sk.until("another steward", func() bool { return sk.steward() != st })
 	sk.checkPromises()
 }
--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -23,7 +23,7 @@
 		{"refused since a group's members were lost", func(sk *stack, id string) []string {
 			for _, vm := range sk.de.Fleet.IDs() {
 				sk.de.Kill(vm)
-				sk.de.Forget(vm)
+				sk.de.Deregister(vm)
 			}
 			sk.until("no group serves", func() bool {
 				log := sk.log.String()
@@ -53,7 +53,7 @@
 			for _, desk := range sk.de.IDs("desk") {
 				sk.de.Server(desk).SetFault(func(req *http.Request) emulator.Fault {
 					if req.Header.Get(platform.HeaderRequestID) == id {
-						return emulator.LosesAnswer
+						return emulator.DropsResponse
 					}
 					return emulator.None
 				})
--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -14,7 +14,7 @@
 const reasonQuarantined = "quarantined"
 
 // BrokenOff is a request whose endpoint closed the connection before the answer's end.
-type BrokenOff struct {
+type Disconnect struct {
 	Request quarantine.Fingerprint
 	// Endpoint is the endpoint's identifier, Address where it listened.
 	Endpoint, Address string
@@ -49,7 +49,7 @@
 	if !http1.PeerClosed(err) && !errors.Is(err, errCutOff) {
 		return
 	}
-	known := ca.sv.OnBrokenOff(BrokenOff{ca.content, endpoint, addr})
+	known := ca.sv.OnDisconnect(Disconnect{ca.content, endpoint, addr})
 	if !ca.sv.Quarantine.Suspected(ca.content) {
 		return
 	}
@@ -63,6 +63,6 @@
 // under it before ended for another reason.
 func (ca *call) outlived() {
 	if ca.sv.Quarantine.Suspected(ca.content) {
-		ca.sv.OnAnswered(ca.content)
+		ca.sv.OnCompletion(ca.content)
 	}
 }
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -37,7 +37,7 @@
 	heads []*emulator.Server
 	// broken and answered are what the server told of.
 	mu       sync.Mutex
-	broken   []BrokenOff
+	broken   []Disconnect
 	answered []quarantine.Fingerprint
 }
 
@@ -48,7 +48,7 @@
 }
 
 // brokenOff takes every endpoint that closes a connection as one that goes on.
-func (ri *rig) brokenOff(bo BrokenOff) <-chan struct{} {
+func (ri *rig) brokenOff(bo Disconnect) <-chan struct{} {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
 	ri.broken = append(ri.broken, bo)
@@ -81,8 +81,8 @@
 	}
 	ri.cfg.BuildIndexes()
 	ri.front = &Server{Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(&ri.log, nil)), Table: ri.table, Plain: ri.plain,
-		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnWrong: func() {}, OnLeaving: func(catalog.Instance) {},
-		Quarantine: &quarantine.Ledger{}, OnBrokenOff: ri.brokenOff, OnAnswered: ri.answeredWhole,
+		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnMisrouted: func() {}, OnLeaving: func(catalog.Instance) {},
+		Quarantine: &quarantine.Ledger{}, OnDisconnect: ri.brokenOff, OnCompletion: ri.answeredWhole,
 		Backpressure: &backpressure.Register{},
 		Pool:         &http1.Pool{Clock: clock.System{}, DialTimeout: longTimeout},
 		Budget:       &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}
--- a/internal/front/heard.go
+++ b/internal/front/heard.go
@@ -16,7 +16,7 @@
 
 // Heard takes in what the head of an answer to a request says of its endpoint. sent is when the
 // request was sent.
-func (sv *Server) Heard(li catalog.Instance, rsp *http.Response, sent time.Time) {
+func (sv *Server) ApplyResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	// A refusal may be made before the server sees the request, so what it lacks says nothing.
 	if limit, ok := sv.limitOf(li, rsp); ok && (limit.Named || !notRun(rsp)) {
 		sv.setLimit(li, limit, sent)
@@ -27,7 +27,7 @@
 
 // hearLeaving takes in that the endpoint stops soon.
 func (sv *Server) hearLeaving(li catalog.Instance, rsp *http.Response) {
-	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.SaysLeaving(rsp.Header) {
+	if rsp.StatusCode == http.StatusMisdirectedRequest || !platform.AnnouncesLeaving(rsp.Header) {
 		return
 	}
 	if sv.Backpressure.SetLeaving(li, sv.Clock.Now()) {
@@ -44,7 +44,7 @@
 		sv.Backpressure.SetAccepted(li, sent, sv.Clock.Now())
 		return
 	}
-	rest, err := platform.RestOf(rsp, sv.Clock.Now())
+	rest, err := platform.RetryAfter(rsp, sv.Clock.Now())
 	if err != nil {
 		sv.Log.Info("front: answer's head not understood.", "endpoint", li.ID, "cause", err.Error())
 	}
@@ -57,7 +57,7 @@
 
 // HeardInCall takes in the same of an answer to a call that is no request. Servers need not say
 // there what they say in answers to requests, so what it lacks is not taken as withdrawn.
-func (sv *Server) HeardInCall(li catalog.Instance, rsp *http.Response, sent time.Time) {
+func (sv *Server) ApplyControlResponseHeader(li catalog.Instance, rsp *http.Response, sent time.Time) {
 	if limit, ok := sv.limitOf(li, rsp); ok && limit.Named {
 		sv.setLimit(li, limit, sent)
 	}
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -19,8 +19,8 @@
 		name  string
 		fault emulator.Fault
 	}{
-		{"sound", emulator.None}, {"another request's answer", emulator.Foreign}, {"cut off", emulator.Truncates},
-		{"lost", emulator.LosesAnswer}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
+		{"sound", emulator.None}, {"another request's answer", emulator.MismatchedResponse}, {"cut off", emulator.Truncates},
+		{"lost", emulator.DropsResponse}, {"refused", emulator.Refuses}, {"failed", emulator.Fails},
 	}
 	for _, tc := range faults {
 		t.Run(tc.name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 // A request that must not repeat is sent again only when an endpoint promised
 // that it has not run and never will. A disbursement is booked once at most.
 func TestHoldAtMostOnce(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Foreign, emulator.Truncates, emulator.LosesAnswer, emulator.Fails, emulator.Refuses} {
+	for _, fault := range []emulator.Fault{emulator.MismatchedResponse, emulator.Truncates, emulator.DropsResponse, emulator.Fails, emulator.Refuses} {
 		ri := newRig(t)
 		ri.desk(always(fault))
 		ri.desk(always(fault))
@@ -202,7 +202,7 @@
 
 // A safe request fails at one endpoint and is answered by the next.
 func TestSafeRequestIsRepeated(t *testing.T) {
-	for _, fault := range []emulator.Fault{emulator.Fails, emulator.LosesAnswer, emulator.Truncates, emulator.Foreign} {
+	for _, fault := range []emulator.Fault{emulator.Fails, emulator.DropsResponse, emulator.Truncates, emulator.MismatchedResponse} {
 		ri := newRig(t)
 		once := first(fault)
 		ri.desk(once)
@@ -348,7 +348,7 @@
 	ri.view.Groups[0].Members[0].ID = "former"
 	ri.head(nil)
 	wrong := make(chan struct{}, 1)
-	ri.front.OnWrong = func() { wrong <- struct{}{} }
+	ri.front.OnMisrouted = func() { wrong <- struct{}{} }
 	for len(wrong) == 0 {
 		if re := ri.ask("/draft/x", "id", streaming); re.status != http.StatusOK {
 			t.Fatalf("status %d", re.status)
@@ -364,7 +364,7 @@
 	ri := newRig(t)
 	ri.desk(nil)
 	ri.head(nil)
-	ri.front.Stop()
+	ri.front.SetStopping()
 	hc := &http.Client{Transport: &http.Transport{}}
 	for _, path := range []string{"/slot/x", "/draft/x"} {
 		req, err := http.NewRequest(http.MethodPost, ri.hs.URL+path, nil)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -20,7 +20,7 @@
 			}
 			leaving := []*emulator.Server{ri.desks[0], ri.heads[0]}
 			for _, sv := range leaving {
-				sv.SetNeed(emulator.Need{Leaving: true})
+				sv.SetBackpressure(emulator.Backpressure{Leaving: true})
 			}
 			for num := range 30 {
 				if re := ri.ask(path, fmt.Sprint("id-", num), streaming); re.status != http.StatusOK {
--- a/internal/front/limit_test.go
+++ b/internal/front/limit_test.go
@@ -23,7 +23,7 @@
 func withinLimit(t *testing.T, sv *emulator.Server, perSecond float64, after time.Time) {
 	t.Helper()
 	allowed := limitRatio*perSecond*limitWindow.Seconds() + limitSlack
-	if num := sv.Busiest(limitWindow, after); float64(num) > allowed {
+	if num := sv.PeakArrivals(limitWindow, after); float64(num) > allowed {
 		t.Errorf("%s got %d requests in %s, allowed %.0f", sv.ID, num, limitWindow, allowed)
 	}
 }
@@ -40,7 +40,7 @@
 				ri.head(nil)
 			}
 			for _, sv := range []*emulator.Server{ri.desks[0], ri.heads[0]} {
-				sv.SetNeed(emulator.Need{Limit: fmt.Sprint(perSecond)})
+				sv.SetBackpressure(emulator.Backpressure{Limit: fmt.Sprint(perSecond)})
 			}
 			begin := time.Now()
 			for num := range requests {
@@ -59,12 +59,12 @@
 func TestLimitEnds(t *testing.T) {
 	ri := newRig(t)
 	ri.desk(nil)
-	ri.desks[0].SetNeed(emulator.Need{Limit: "1000"})
+	ri.desks[0].SetBackpressure(emulator.Backpressure{Limit: "1000"})
 	ri.ask("/slot/x", "limited", nil)
 	if num := ri.front.Backpressure.NumLimited(); num != 1 {
 		t.Fatalf("%d endpoints with a limit", num)
 	}
-	ri.desks[0].SetNeed(emulator.Need{})
+	ri.desks[0].SetBackpressure(emulator.Backpressure{})
 	for end := time.Now().Add(longTimeout); ri.front.Backpressure.NumLimited() > 0; time.Sleep(5 * time.Millisecond) {
 		ri.ask("/slot/x", "free", nil)
 		if time.Now().After(end) {
@@ -93,8 +93,8 @@
 	for _, tc := range tests {
 		ri := newRig(t)
 		now := time.Now()
-		ri.front.Heard(li, answer(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
-		ri.front.Heard(li, tc.rsp, time.Now())
+		ri.front.ApplyResponseHeader(li, answer(http.StatusOK, http.Header{platform.HeaderLimit: {"2"}}), now)
+		ri.front.ApplyResponseHeader(li, tc.rsp, time.Now())
 		if num := ri.front.Backpressure.NumLimited(); num != tc.want {
 			t.Errorf("%s: %d endpoints with a limit, want %d", tc.name, num, tc.want)
 		}
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	defer ex.Close()
-	ca.sv.Heard(ep.Instance(), ex.Response, begin)
+	ca.sv.ApplyResponseHeader(ep.Instance(), ex.Response, begin)
 	body, err := ex.ReadAll(maxAnswer)
 	if err != nil {
 		err = &http1.Error{Verdict: verdict.MayHaveRun, Err: err}
@@ -133,7 +133,7 @@
 	now := ca.sv.Clock.Now()
 	ca.sv.Plain.RecordResponse(ep, now.Sub(begin), an.status >= http.StatusInternalServerError, now)
 	if an.status == http.StatusMisdirectedRequest {
-		ca.sv.OnWrong()
+		ca.sv.OnMisrouted()
 	}
 	ca.log.Debug("front: tried.", "endpoint", ep.ID, "status", an.status, "not-run", an.notRun)
 	return an, nil
--- a/internal/front/quarantine_test.go
+++ b/internal/front/quarantine_test.go
@@ -53,7 +53,7 @@
 			ri := newRig(t)
 			fp := content(path, "crash")
 			ri.front.Quarantine.RecordCrash(quarantine.Crash{Endpoint: "earlier", AtMillis: time.Now().UnixMilli(), Requests: []quarantine.Fingerprint{fp}}, time.Now())
-			ri.front.OnBrokenOff = func(bo BrokenOff) <-chan struct{} {
+			ri.front.OnDisconnect = func(bo Disconnect) <-chan struct{} {
 				known := make(chan struct{})
 				time.AfterFunc(50*time.Millisecond, func() {
 					ri.hold(bo.Request)
@@ -62,8 +62,8 @@
 				return known
 			}
 			for range 2 {
-				ri.desk(always(emulator.LosesAnswer))
-				ri.head(always(emulator.LosesAnswer))
+				ri.desk(always(emulator.DropsResponse))
+				ri.head(always(emulator.DropsResponse))
 			}
 			re := ri.ask(path, "crash", streaming)
 			if num := ri.runs("crash"); num != 1 {
@@ -107,7 +107,7 @@
 		name  string
 		fault emulator.Fault
 		want  bool
-	}{{"closed before the answer", emulator.LosesAnswer, true}, {"cut off", emulator.Truncates, true}, {"sound", emulator.None, false},
+	}{{"closed before the answer", emulator.DropsResponse, true}, {"cut off", emulator.Truncates, true}, {"sound", emulator.None, false},
 		{"failed", emulator.Fails, false}, {"refused", emulator.Refuses, false}}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/front/resolve.go
+++ b/internal/front/resolve.go
@@ -25,7 +25,7 @@
 		return
 	}
 	_, dataCenter := platform.ResolveQuery(req)
-	body, err := json.Marshal(platform.ResolveAnswer{Addresses: di.Addresses(dataCenter), TTLSeconds: di.TTLSeconds})
+	body, err := json.Marshal(platform.ResolveResponse{Addresses: di.Addresses(dataCenter), TTLSeconds: di.TTLSeconds})
 	if err != nil {
 		di.Log.Error("directory: answer not encoded.", "cause", err.Error())
 		http.Error(w, "internal error", http.StatusInternalServerError)
--- a/internal/front/rest_test.go
+++ b/internal/front/rest_test.go
@@ -45,7 +45,7 @@
 			}
 			shedding := []*emulator.Server{ri.desks[0], ri.heads[0]}
 			for _, sv := range shedding {
-				sv.SetNeed(emulator.Need{Sheds: true, Rest: strconv.Itoa(int(rest.Seconds()))})
+				sv.SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: strconv.Itoa(int(rest.Seconds()))})
 			}
 			for num := range requests {
 				if re := ri.ask(path, fmt.Sprint("id-", num), streaming); re.status != http.StatusOK {
@@ -71,8 +71,8 @@
 			ri := newRig(t)
 			for num := range 2 {
 				rest := strconv.Itoa(2 + 30*num)
-				ri.desk(nil).SetNeed(emulator.Need{Sheds: true, Rest: rest})
-				ri.head(nil).SetNeed(emulator.Need{Sheds: true, Rest: rest})
+				ri.desk(nil).SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: rest})
+				ri.head(nil).SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: rest})
 			}
 			re := ri.ask(path, "first", streaming)
 			if again, _ := strconv.ParseFloat(re.header.Get(platform.HeaderRetryAfter), 64); again < 1 {
@@ -88,7 +88,7 @@
 				t.Fatalf("status %d, to come again %q", re.status, re.header.Get(platform.HeaderRetryAfter))
 			}
 			for _, sv := range append(ri.desks, ri.heads...) {
-				sv.SetNeed(emulator.Need{})
+				sv.SetBackpressure(emulator.Backpressure{})
 			}
 			time.Sleep(time.Duration(again * float64(time.Second)))
 			if re := ri.ask(path, "returned", streaming); re.status != http.StatusOK {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -43,17 +43,17 @@
 	// Backpressure holds what endpoints say of how much they take.
 	Backpressure *backpressure.Register
 	// OnWrong is called when an endpoint says that it is not the one expected.
-	OnWrong func()
+	OnMisrouted func()
 	// OnLeaving is called when an endpoint has said in an answer that it stops soon.
 	OnLeaving func(catalog.Instance)
 	// Quarantine knows which requests end the servers that run them.
 	Quarantine *quarantine.Ledger
 	// OnBrokenOff is called when an endpoint closes the connection while it has a request.
 	// What it returns is closed once it is known whether the endpoint has ended.
-	OnBrokenOff func(BrokenOff) <-chan struct{}
+	OnDisconnect func(Disconnect) <-chan struct{}
 	// OnAnswered is called when a request was answered whole under which endpoints have
 	// ended.
-	OnAnswered func(quarantine.Fingerprint)
+	OnCompletion func(quarantine.Fingerprint)
 
 	stopping atomic.Bool
 	daemons  atomic.Int64
@@ -65,16 +65,16 @@
 }
 
 // Stop makes the server tell callers to close their connections.
-func (sv *Server) Stop() { sv.stopping.Store(true) }
+func (sv *Server) SetStopping() { sv.stopping.Store(true) }
 
 // SetDaemons tells how many daemons share the endpoints' connections.
-func (sv *Server) SetDaemons(num int) { sv.daemons.Store(int64(num)) }
+func (sv *Server) SetDaemonCount(num int) { sv.daemons.Store(int64(num)) }
 
 // Working returns the number of requests being handled.
-func (sv *Server) Working() int64 { return sv.working.Load() }
+func (sv *Server) InFlight() int64 { return sv.working.Load() }
 
 // Served returns the number of requests so far.
-func (sv *Server) Served() int64 { return sv.served.Load() }
+func (sv *Server) Received() int64 { return sv.served.Load() }
 
 // call is one request of a caller on its way.
 type call struct {
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -126,7 +126,7 @@
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.Heard(head.Instance(), ex.Response, sent)
+	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.other(part, ch, ex, sent)
 	}
@@ -307,7 +307,7 @@
 	if an.notRun {
 		if an.status == http.StatusMisdirectedRequest {
 			st.sv.Table.MarkMisrouted(gr)
-			st.sv.OnWrong()
+			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It has room and takes nothing, so that it would look best again.
 			head := gr.Head()
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -27,15 +27,15 @@
 )
 
 // ErrForeign means that the answers on a connection were to other requests.
-var ErrForeign = errors.New("http1: answer to another request")
+var ErrMismatchedResponse = errors.New("http1: answer to another request")
 
 // Error is a failed exchange. Its verdict says whether the endpoint may have
 // run the request.
 type Error struct {
 	Verdict verdict.Verdict
 	// Connect is set when no connection could be opened.
-	Connect bool
-	Err     error
+	ConnectFailed bool
+	Err           error
 }
 
 // Error implements the error interface.
@@ -56,7 +56,7 @@
 // ConnectFailed tells whether no connection could be opened.
 func ConnectFailed(err error) bool {
 	var er *Error
-	return errors.As(err, &er) && er.Connect
+	return errors.As(err, &er) && er.ConnectFailed
 }
 
 // Request is a request as it is written to an endpoint.
@@ -95,7 +95,7 @@
 func (po *Pool) Send(ctx context.Context, addr string, rq *Request) (*Exchange, error) {
 	cn, err := po.get(ctx, addr, rq.Fresh)
 	if err != nil {
-		return nil, &Error{Verdict: verdict.NotRun, Connect: true, Err: err}
+		return nil, &Error{Verdict: verdict.NotRun, ConnectFailed: true, Err: err}
 	}
 	ex := &Exchange{po: po, cn: cn, written: make(chan error, 1), maxIdle: rq.MaxIdle}
 	ex.stop = context.AfterFunc(ctx, func() { cn.nc.Close() })
@@ -152,16 +152,16 @@
 			return ex.cn.nc.SetReadDeadline(time.Time{})
 		}
 		if rsp.ContentLength < 0 && len(rsp.TransferEncoding) == 0 {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if _, err := io.CopyN(io.Discard, rsp.Body, maxSkip); !errors.Is(err, io.EOF) {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if err := ex.cn.nc.SetReadDeadline(time.Now().Add(foreignPatience)); err != nil {
 			return err
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // ours tells whether the answer is to this request. Refusals may lack the
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -113,7 +113,7 @@
 }
 
 // Drop closes all idle connections to an address, whose process has ended.
-func (po *Pool) Drop(addr string) {
+func (po *Pool) CloseIdle(addr string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	for _, cn := range po.idle[addr] {
@@ -123,7 +123,7 @@
 }
 
 // Sweep closes idle connections that have reached their limit.
-func (po *Pool) Sweep() {
+func (po *Pool) CloseExpired() {
 	now := po.Clock.Now()
 	po.mu.Lock()
 	defer po.mu.Unlock()
--- a/internal/mesh/beat.go
+++ b/internal/mesh/beat.go
@@ -26,7 +26,7 @@
 // are never given again with another meaning: daemons of two versions run
 // together while they are replaced. 14 was the load in an earlier form, 20 the IDs
 // of endpoints that left.
-type Beat struct {
+type Heartbeat struct {
 	// IP identifies the daemon, Started the process on it.
 	IP         string `cbor:"1,keyasint"`
 	Started    int64  `cbor:"2,keyasint"`
@@ -34,8 +34,8 @@
 	Name       string `cbor:"4,keyasint"`
 	DataCenter string `cbor:"5,keyasint"`
 	// Callers is the address for callers; Taking is set while it may be used.
-	Callers string `cbor:"6,keyasint"`
-	Taking  bool   `cbor:"7,keyasint,omitempty"`
+	Callers   string `cbor:"6,keyasint"`
+	Accepting bool   `cbor:"7,keyasint,omitempty"`
 	// Steward is set by the daemon that holds the lease of that term.
 	Steward bool  `cbor:"8,keyasint,omitempty"`
 	Term    int64 `cbor:"9,keyasint,omitempty"`
@@ -53,37 +53,37 @@
 	// HeardTerm and HeardNumber name the last beat of a steward that the daemon
 	// heard. With them it promises not to look at the lease for a while; they
 	// are 0 while it does.
-	HeardTerm   int64  `cbor:"16,keyasint,omitempty"`
-	HeardNumber uint64 `cbor:"17,keyasint,omitempty"`
+	AckTerm   int64  `cbor:"16,keyasint,omitempty"`
+	AckNumber uint64 `cbor:"17,keyasint,omitempty"`
 	// HeardFor is how long it promises that, from when that beat was sent.
-	HeardFor time.Duration `cbor:"30,keyasint,omitempty"`
+	PromiseDuration time.Duration `cbor:"30,keyasint,omitempty"`
 	// Uptime is how long ago the process started.
 	Uptime time.Duration `cbor:"19,keyasint,omitempty"`
 	// Leaving daemons will not become steward any more.
 	Leaving bool `cbor:"18,keyasint,omitempty"`
 	// Gone are endpoints that the daemon has lately seen leave at the store.
-	Gone []catalog.Instance `cbor:"28,keyasint,omitempty"`
+	Departed []catalog.Instance `cbor:"28,keyasint,omitempty"`
 	// Suspects are groups that stand still.
-	Suspects []Suspect `cbor:"15,keyasint,omitempty"`
+	StallReports []GroupRef `cbor:"15,keyasint,omitempty"`
 	// Advancing are groups that the daemon suspected and whose streams go on.
-	Advancing []Suspect `cbor:"29,keyasint,omitempty"`
+	ProgressReports []GroupRef `cbor:"29,keyasint,omitempty"`
 	// Ended and Answered are what the daemon has seen of requests under which endpoints
 	// end. As with work, all are told where daemons are few, and the steward else.
-	Ended    []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
-	Answered []quarantine.Completion `cbor:"32,keyasint,omitempty"`
+	Crashes     []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
+	Completions []quarantine.Completion `cbor:"32,keyasint,omitempty"`
 	// Quarantine is the digest of the requests that it has quarantined.
 	Quarantine uint64 `cbor:"33,keyasint,omitempty"`
 	// Backpressure is what endpoints said of how much they take: to all where daemons are
 	// few, and to the steward else, which tells it to all.
 	Backpressure []backpressure.Notice `cbor:"34,keyasint,omitempty"`
 	// Follows is set while the daemon follows the store itself.
-	Follows bool `cbor:"26,keyasint,omitempty"`
+	FollowsStore bool `cbor:"26,keyasint,omitempty"`
 	// Sound are groups that were suspected and whose members have all answered.
-	Sound []Suspect `cbor:"24,keyasint,omitempty"`
+	Healthy []GroupRef `cbor:"24,keyasint,omitempty"`
 	// Power is the daemon's part of a processor, in thousandths of a core.
-	Power int `cbor:"25,keyasint,omitempty"`
+	MilliCPU int `cbor:"25,keyasint,omitempty"`
 	// Silent are daemons that the steward does not hear any more.
-	Silent []string `cbor:"22,keyasint,omitempty"`
+	Unresponsive []string `cbor:"22,keyasint,omitempty"`
 	// Change makes the steward's view of the one before; it is told once, and
 	// whoever misses it fetches the view.
 	Change *catalog.Change `cbor:"23,keyasint,omitempty"`
@@ -103,7 +103,7 @@
 )
 
 // Suspect names a group whose requests stand still.
-type Suspect struct {
+type GroupRef struct {
 	Group string `cbor:"1,keyasint"`
 	Epoch int64  `cbor:"2,keyasint"`
 }
@@ -123,9 +123,9 @@
 
 // Peer is another daemon.
 type Peer struct {
-	Beat
+	Heartbeat
 	// At is when the last beat came; zero before the first.
-	At time.Time
+	ReceivedAt time.Time
 	// known is when the peer was heard of, sent when it was last sent a beat.
 	known, sent time.Time
 }
@@ -139,7 +139,7 @@
 	IP, DataCenter string
 	Port           int
 	// OnBeat is called for each new beat of another daemon.
-	OnBeat func(Beat)
+	OnHeartbeat func(Heartbeat)
 
 	mu    sync.Mutex
 	peers map[string]*Peer
@@ -182,13 +182,13 @@
 			continue
 		}
 		if me.Accept(be) {
-			me.OnBeat(be)
+			me.OnHeartbeat(be)
 		}
 	}
 }
 
 // Accept notes a beat, unless a later one of the daemon has come before it.
-func (me *Mesh) Accept(be Beat) bool {
+func (me *Mesh) Accept(be Heartbeat) bool {
 	if _, err := netip.ParseAddr(be.IP); err != nil || be.IP == me.IP {
 		return false
 	}
@@ -207,7 +207,7 @@
 		}
 		me.Log.Log(context.Background(), level, "mesh: daemon joined.", "daemon", be.Name, "ip", be.IP)
 	}
-	pe.Beat, pe.At = be, now
+	pe.Heartbeat, pe.ReceivedAt = be, now
 	pe.Work, pe.Change = dispatch.Work{}, nil
 	me.hearSilent(be)
 	return true
@@ -226,7 +226,7 @@
 }
 
 // Know adds daemons that were heard of.
-func (me *Mesh) Know(ips []string) {
+func (me *Mesh) AddPeers(ips []string) {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	for _, ip := range ips {
@@ -260,14 +260,14 @@
 
 // HeardWithin returns the daemons that were heard within a time, or within some
 // of their intervals where those are longer.
-func (me *Mesh) HeardWithin(span time.Duration) []Peer {
+func (me *Mesh) AliveWithin(span time.Duration) []Peer {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	now := me.Clock.Now()
 	pa := me.pace()
 	var heard []Peer
 	for _, pe := range me.peers {
-		if !pe.At.IsZero() && now.Sub(pe.At) < max(span, aliveBeats*pa.between(pe)) {
+		if !pe.ReceivedAt.IsZero() && now.Sub(pe.ReceivedAt) < max(span, aliveBeats*pa.between(pe)) {
 			heard = append(heard, *pe)
 		}
 	}
--- a/internal/mesh/pace.go
+++ b/internal/mesh/pace.go
@@ -51,7 +51,7 @@
 
 // LoadDelay is how old what other daemons tell of their load is when it counts,
 // on average: half of each interval on its way, and the ways themselves.
-func (me *Mesh) LoadDelay() time.Duration {
+func (me *Mesh) ReportDelay() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	pa := me.pace()
@@ -66,7 +66,7 @@
 
 // ToldWithin is the time between beats that tell a daemon's own work, to all daemons or to
 // the steward.
-func (me *Mesh) ToldWithin() time.Duration {
+func (me *Mesh) WorkInterval() time.Duration {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	pa := me.pace()
@@ -168,7 +168,7 @@
 }
 
 func (pa *pace) heardLately(ip string, pe *Peer, now time.Time) bool {
-	return !pe.At.IsZero() && now.Sub(pe.At) < max(aliveFor, aliveBeats*pa.from(ip, pe))
+	return !pe.ReceivedAt.IsZero() && now.Sub(pe.ReceivedAt) < max(aliveFor, aliveBeats*pa.from(ip, pe))
 }
 
 // Audience is who is to get a beat.
@@ -192,9 +192,9 @@
 	// of it at once.
 	seldom := max(aliveFor, aliveBeats*max(pa.from(ip, pe), pa.between(pe)))
 	switch {
-	case pe.At.IsZero():
+	case pe.ReceivedAt.IsZero():
 		return since >= silentEvery
-	case now.Sub(pe.At) >= seldom:
+	case now.Sub(pe.ReceivedAt) >= seldom:
 		return since >= max(silentEvery, pa.toward(ip, pe))
 	case to == ToEveryone, to == ToSteward && (pa.direct || ip == pa.stewardIP):
 		return true
--- a/internal/mesh/pace_test.go
+++ b/internal/mesh/pace_test.go
@@ -30,7 +30,7 @@
 	cl := clock.NewManual(time.Unix(1000, 0))
 	cr := &crowd{clock: cl, Mesh: &Mesh{Clock: cl, Log: slog.New(slog.DiscardHandler), IP: "10.0.0.1", DataCenter: "dc-0", Port: 7}}
 	for i := range others {
-		cr.hear(i, Beat{})
+		cr.hear(i, Heartbeat{})
 	}
 	return cr
 }
@@ -38,7 +38,7 @@
 func otherIP(num int) string { return fmt.Sprintf("10.0.%d.%d", 1+num/200, 1+num%200) }
 
 // hear makes a beat of that daemon come in.
-func (cr *crowd) hear(num int, be Beat) {
+func (cr *crowd) hear(num int, be Heartbeat) {
 	cr.number++
 	be.IP, be.DataCenter, be.Number, be.Started = otherIP(num), fmt.Sprint("dc-", num%4), cr.number, cr.started
 	cr.Accept(be)
@@ -48,7 +48,7 @@
 func (cr *crowd) hearAll(others int, but ...int) {
 	for i := range others {
 		if !slices.Contains(but, i) {
-			cr.hear(i, Beat{Steward: cr.steward == otherIP(i)})
+			cr.hear(i, Heartbeat{Steward: cr.steward == otherIP(i)})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		cr.clock.Advance(700 * time.Millisecond)
 		cr.hearAll(others, dead)
 	}
-	silent := steward.Silent()
+	silent := steward.Unresponsive()
 	if !slices.Equal(silent, []string{otherIP(dead)}) {
 		t.Fatalf("silent: %v, want daemon %d alone", silent, dead)
 	}
@@ -148,15 +148,15 @@
 	if !alive() {
 		t.Fatal("a neighbour takes the daemon as dead already, so the test shows nothing")
 	}
-	neighbour.hear(2, Beat{Steward: true, Silent: silent})
+	neighbour.hear(2, Heartbeat{Steward: true, Unresponsive: silent})
 	if !alive() {
 		t.Error("believed another daemon than the steward")
 	}
-	neighbour.hear(1, Beat{Steward: true, Silent: silent})
+	neighbour.hear(1, Heartbeat{Steward: true, Unresponsive: silent})
 	if alive() {
 		t.Error("the dead daemon still counts as alive")
 	}
-	neighbour.hear(1, Beat{Steward: true})
+	neighbour.hear(1, Heartbeat{Steward: true})
 	if !alive() {
 		t.Error("the daemon does not count as alive although the steward hears it again")
 	}
@@ -175,7 +175,7 @@
 	if got := len(cr.due(ToEveryone)); got != others {
 		t.Errorf("%d daemons hear of the new steward at once, want %d", got, others)
 	}
-	if silent := cr.Silent(); len(silent) > 0 {
+	if silent := cr.Unresponsive(); len(silent) > 0 {
 		t.Errorf("%d daemons are called silent that were not due to be heard", len(silent))
 	}
 }
@@ -183,8 +183,8 @@
 // Who is told what of the load: one datagram for all that are told the same.
 func TestDatagrams(t *testing.T) {
 	own := map[string]dispatch.Load{"a": {Requests: 3}}
-	en := beatEncoder{be: Beat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
-		But: func(ip string) dispatch.Work {
+	en := beatEncoder{be: Heartbeat{IP: "10.0.0.1"}, wo: Work{Own: dispatch.Work{Loads: own},
+		Except: func(ip string) dispatch.Work {
 			return dispatch.Work{Loads: map[string]dispatch.Load{ip: {Requests: 1}}, Rates: map[string]float32{"linden": 2.5}}
 		}}}
 	tests := []struct {
@@ -248,10 +248,10 @@
 // Each server that ends makes news of all requests that it had. Where daemons are many, it
 // goes to the steward alone: sent to all of them it would be most of what they tell.
 func TestEndsAreToldToTheSteward(t *testing.T) {
-	be := Beat{Ended: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
-		Answered: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
+	be := Heartbeat{Crashes: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
+		Completions: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
 	for _, tell := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
-		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		en := beatEncoder{be: be, wo: Work{Except: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(to(0, tell))
 		if err != nil {
 			t.Fatal(err)
@@ -261,10 +261,10 @@
 			t.Fatal(err)
 		}
 		if tell == WorkOwn {
-			if diff := cmp.Diff(be.Ended, got.Ended) + cmp.Diff(be.Answered, got.Answered); diff != "" {
+			if diff := cmp.Diff(be.Crashes, got.Crashes) + cmp.Diff(be.Completions, got.Completions); diff != "" {
 				t.Errorf("told otherwise: %s", diff)
 			}
-		} else if len(got.Ended)+len(got.Answered) != 0 {
+		} else if len(got.Crashes)+len(got.Completions) != 0 {
 			t.Errorf("told with %v", tell)
 		}
 		if got.Quarantine != be.Quarantine {
@@ -277,10 +277,10 @@
 // tells the steward, which tells all. Sent to everyone by everyone they would be most of what
 // is told.
 func TestBackpressureIsTold(t *testing.T) {
-	be := Beat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
+	be := Heartbeat{Backpressure: []backpressure.Notice{{Instance: catalog.Instance{ID: "s1", Incarnation: 5},
 		Limit: backpressure.Limit{PerSecond: 1.5, Named: true}, LimitAge: time.Second}}}
 	for tell, want := range map[WorkOf]bool{WorkOwn: true, WorkRelayed: true, WorkNone: false} {
-		en := beatEncoder{be: be, wo: Work{But: func(string) dispatch.Work { return dispatch.Work{} }}}
+		en := beatEncoder{be: be, wo: Work{Except: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(to(0, tell))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/mesh/send.go
+++ b/internal/mesh/send.go
@@ -15,11 +15,11 @@
 	// Own is this daemon's.
 	Own dispatch.Work
 	// But returns that of all daemons but one; the steward sets it.
-	But func(ip string) dispatch.Work
+	Except func(ip string) dispatch.Work
 }
 
 // Send sends a beat.
-func (me *Mesh) Send(be Beat, wo Work, to Audience) error {
+func (me *Mesh) Send(be Heartbeat, wo Work, to Audience) error {
 	en := beatEncoder{be: be, wo: wo}
 	for _, re := range me.due(to) {
 		raw, err := en.datagram(re)
@@ -59,7 +59,7 @@
 
 // forget drops a daemon that has been silent for long, and tells whether it did.
 func (me *Mesh) forget(ip string, pe *Peer, now time.Time) bool {
-	heard := pe.At
+	heard := pe.ReceivedAt
 	if heard.IsZero() {
 		heard = pe.known
 	}
@@ -87,7 +87,7 @@
 
 // beatEncoder encodes a beat once for all daemons that are told the same.
 type beatEncoder struct {
-	be        Beat
+	be        Heartbeat
 	wo        Work
 	own, none []byte
 }
@@ -97,14 +97,14 @@
 	be := en.be
 	be.WorkOf = re.tell
 	if re.tell != WorkOwn {
-		be.Ended, be.Answered = nil, nil
+		be.Crashes, be.Completions = nil, nil
 	}
 	if re.tell == WorkNone {
 		be.Backpressure = nil
 	}
 	switch {
-	case re.tell == WorkRelayed && en.wo.But != nil:
-		be.Work = en.wo.But(re.to.Addr().String())
+	case re.tell == WorkRelayed && en.wo.Except != nil:
+		be.Work = en.wo.Except(re.to.Addr().String())
 		return encode(be)
 	case re.tell == WorkOwn:
 		be.Work = en.wo.Own
@@ -114,7 +114,7 @@
 	return once(&en.none, be)
 }
 
-func once(raw *[]byte, be Beat) ([]byte, error) {
+func once(raw *[]byte, be Heartbeat) ([]byte, error) {
 	if *raw != nil {
 		return *raw, nil
 	}
@@ -123,12 +123,12 @@
 	return *raw, err
 }
 
-func encode(be Beat) ([]byte, error) {
+func encode(be Heartbeat) ([]byte, error) {
 	raw, err := cbor.Marshal(be)
 	return raw, eris.Wrap(err, "beat")
 }
 
-func decode(raw []byte) (Beat, error) {
-	var be Beat
+func decode(raw []byte) (Heartbeat, error) {
+	var be Heartbeat
 	return be, eris.Wrap(cbor.Unmarshal(raw, &be), "beat")
 }
--- a/internal/mesh/silent.go
+++ b/internal/mesh/silent.go
@@ -4,7 +4,7 @@
 
 // Silent returns the daemons that have fallen silent lately, for the steward
 // to tell the others, which hear most daemons seldom.
-func (me *Mesh) Silent() []string {
+func (me *Mesh) Unresponsive() []string {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	if len(me.peers) <= directMost || me.steward != me.IP {
@@ -16,7 +16,7 @@
 	}
 	var silent []string
 	for ip, pe := range me.peers {
-		if age := now.Sub(pe.At); !pe.At.IsZero() && age > silentAfter && age < tellSilent {
+		if age := now.Sub(pe.ReceivedAt); !pe.ReceivedAt.IsZero() && age > silentAfter && age < tellSilent {
 			silent = append(silent, ip)
 		}
 	}
@@ -34,12 +34,12 @@
 )
 
 // hearSilent takes in which daemons have fallen silent to the steward.
-func (me *Mesh) hearSilent(be Beat) {
+func (me *Mesh) hearSilent(be Heartbeat) {
 	if !be.Steward || be.IP != me.steward {
 		return
 	}
-	me.silent = make(map[string]bool, len(be.Silent))
-	for _, ip := range be.Silent {
+	me.silent = make(map[string]bool, len(be.Unresponsive))
+	for _, ip := range be.Unresponsive {
 		me.silent[ip] = true
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -140,7 +140,7 @@
 	ctx, cancel := context.WithTimeout(req.Context(), applyTimeout)
 	defer cancel()
 	cfg := se.State.View().Config
-	done, err := se.Chain.Apply(ctx, cfg, chainstore.Apply{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
+	done, err := se.Chain.Apply(ctx, cfg, chainstore.ApplyRequest{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
 	var fe *chainstore.FaultsError
 	if errors.As(err, &fe) {
 		problems := de.Blame(fe.Faults)
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -51,7 +51,7 @@
 }
 
 // SightingsRequest asks for changed sightings: control.SightingsAnswer.
-type SightingsRequest struct {
+type ObservationsRequest struct {
 	Since uint64 `cbor:"1,keyasint"`
 }
 
@@ -68,14 +68,14 @@
 }
 
 // Done is an empty answer.
-type Done struct{}
+type EmptyAnswer struct{}
 
-func (PullRequest) kind() kind      { return kindPull }
-func (DocsRequest) kind() kind      { return kindDocs }
-func (ConfigRequest) kind() kind    { return kindConfig }
-func (SightingsRequest) kind() kind { return kindSightings }
-func (RevokeRequest) kind() kind    { return kindRevoke }
-func (ClaimRequest) kind() kind     { return kindClaim }
+func (PullRequest) kind() kind         { return kindPull }
+func (DocsRequest) kind() kind         { return kindDocs }
+func (ConfigRequest) kind() kind       { return kindConfig }
+func (ObservationsRequest) kind() kind { return kindSightings }
+func (RevokeRequest) kind() kind       { return kindRevoke }
+func (ClaimRequest) kind() kind        { return kindClaim }
 
 // frame is a request on the wire.
 type frame struct {
@@ -112,7 +112,7 @@
 	case kindConfig:
 		return decodeAs[ConfigRequest](fr.Body)
 	case kindSightings:
-		return decodeAs[SightingsRequest](fr.Body)
+		return decodeAs[ObservationsRequest](fr.Body)
 	case kindRevoke:
 		return decodeAs[RevokeRequest](fr.Body)
 	case kindClaim:
--- a/internal/platform/chainstore/chainstore.go
+++ b/internal/platform/chainstore/chainstore.go
@@ -57,7 +57,7 @@
 }
 
 // After reads what leads from revision after to the head.
-func (st Store) After(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
+func (st Store) UpdateSince(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
 	up := Update{Head: hd}
 	from := after
 	useSnapshot := after < hd.SnapshotRevision
@@ -113,7 +113,7 @@
 
 // Config returns the configuration that the update leads to from cfg.
 // Entries that cfg already has are passed over.
-func (up Update) Config(cfg *intent.Config) (*intent.Config, error) {
+func (up Update) ApplyTo(cfg *intent.Config) (*intent.Config, error) {
 	if up.Snapshot != nil && up.Snapshot.Revision > cfg.Revision {
 		cfg = up.Snapshot
 	}
@@ -131,7 +131,7 @@
 }
 
 // Apply is one change that an operator wants to be in force.
-type Apply struct {
+type ApplyRequest struct {
 	Change intent.Change
 	// Operation identifies the apply: repeating it with the same identifier
 	// has no further effect.
@@ -143,7 +143,7 @@
 }
 
 // Applied is an accepted change.
-type Applied struct {
+type ApplyResult struct {
 	Revision uint64
 	Update   Update
 	// Snapshotted tells that older entries may be pruned now.
@@ -158,11 +158,11 @@
 
 // Apply puts the change on top of the chain as a whole, or returns an error
 // whose verdict tells whether it may be in force. cfg is any known state.
-func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, error) {
+func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap ApplyRequest) (ApplyResult, error) {
 	headTried := false
 	var err error
 	for range maxApplyTries {
-		var done Applied
+		var done ApplyResult
 		var tried bool
 		done, tried, err = st.tryApply(ctx, cfg, ap)
 		if err == nil {
@@ -172,7 +172,7 @@
 		var ve *verdict.Error
 		var fe *FaultsError
 		if errors.As(err, &ve) || errors.As(err, &fe) {
-			return Applied{}, err
+			return ApplyResult{}, err
 		}
 		if errors.Is(err, platform.ErrUnavailable) && !headTried {
 			break
@@ -181,45 +181,45 @@
 			break
 		}
 	}
-	return Applied{}, platformError(err, headTried)
+	return ApplyResult{}, platformError(err, headTried)
 }
 
 // tryApply makes one try. It also tells whether the head may have been
 // written although an error is returned.
-func (st Store) tryApply(ctx context.Context, cfg *intent.Config, ap Apply) (Applied, bool, error) {
+func (st Store) tryApply(ctx context.Context, cfg *intent.Config, ap ApplyRequest) (ApplyResult, bool, error) {
 	hd, rev, err := st.Head(ctx)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
-	up, err := st.After(ctx, hd, oldest(cfg.Revision, ap.Base))
+	up, err := st.UpdateSince(ctx, hd, oldest(cfg.Revision, ap.Base))
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	// A lost answer or a conflict may be our own earlier write, even one that
 	// others have built upon since: the head tells.
 	if revision, ok := hd.Find(ap.Operation); ok {
-		return Applied{Revision: revision, Update: up}, false, nil
+		return ApplyResult{Revision: revision, Update: up}, false, nil
 	}
 	if err := conflict(up, ap); err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
-	now, err := up.Config(cfg)
+	now, err := up.ApplyTo(cfg)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	if faults := now.CheckChange(ap.Change); len(faults) > 0 {
-		return Applied{}, false, &FaultsError{Faults: faults}
+		return ApplyResult{}, false, &FaultsError{Faults: faults}
 	}
 	next, snapshot, err := st.prepare(ctx, hd, now, ap)
 	if err != nil {
-		return Applied{}, false, err
+		return ApplyResult{}, false, err
 	}
 	if err := st.swapHead(ctx, next.Head, rev); err != nil {
-		return Applied{}, errors.Is(err, platform.ErrUnknown), err
+		return ApplyResult{}, errors.Is(err, platform.ErrUnknown), err
 	}
 	next.Snapshot = up.Snapshot
 	next.Entries = append(up.Entries, next.Entries...)
-	return Applied{Revision: next.Head.Revision, Update: next, Snapshotted: snapshot}, false, nil
+	return ApplyResult{Revision: next.Head.Revision, Update: next, Snapshotted: snapshot}, false, nil
 }
 
 // oldest returns the revision to read back to, so that changes since base are
@@ -232,7 +232,7 @@
 }
 
 // conflict refuses an apply whose objects another operator changed after base.
-func conflict(up Update, ap Apply) error {
+func conflict(up Update, ap ApplyRequest) error {
 	base := ap.Base
 	if base == 0 {
 		return nil
@@ -270,7 +270,7 @@
 
 // prepare stores everything that the next head names. It also tells whether
 // that is a new snapshot.
-func (st Store) prepare(ctx context.Context, hd chain.Head, now *intent.Config, ap Apply) (Update, bool, error) {
+func (st Store) prepare(ctx context.Context, hd chain.Head, now *intent.Config, ap ApplyRequest) (Update, bool, error) {
 	en, err := chain.NewEntry(hd, ap.Change, ap.Operation, ap.Operator)
 	if err != nil {
 		return Update{}, false, err
--- a/internal/platform/claims/book.go
+++ b/internal/platform/claims/book.go
@@ -17,7 +17,7 @@
 
 // WritePause is the least time between two writes of a shard by one daemon:
 // all shards together make at most Shards/WritePause writes a second.
-const WritePause = 100 * time.Millisecond
+const MinWriteInterval = 100 * time.Millisecond
 
 // settlePauses are the waits between tries to give back a claim that may have
 // been stored although its request was refused as not run.
@@ -27,7 +27,7 @@
 type Forward func(ctx context.Context, peer string, op claim.Op) (claim.Result, error)
 
 // Book carries out claim operations. Set the exported fields before use.
-type Book struct {
+type Registry struct {
 	Store platform.Store
 	Clock clock.Clock
 	// Owner returns the peer address of the daemon that merges a shard's
@@ -43,17 +43,17 @@
 
 // Do carries out the operation through the shard's owner, or directly when
 // the owner does not answer.
-func (bo *Book) Do(ctx context.Context, op claim.Op) claim.Result {
+func (bo *Registry) Do(ctx context.Context, op claim.Op) claim.Result {
 	if addr := bo.Owner(op.Shard); addr != "" {
 		if res, err := bo.Forward(ctx, addr, op); err == nil && res.Answer != claim.Unavailable {
 			return res
 		}
 	}
-	return bo.Local(ctx, op)
+	return bo.DoLocal(ctx, op)
 }
 
 // Local carries out the operation on this daemon.
-func (bo *Book) Local(ctx context.Context, op claim.Op) claim.Result {
+func (bo *Registry) DoLocal(ctx context.Context, op claim.Op) claim.Result {
 	sh := bo.shard(op.Shard)
 	wa := &waiter{op: op, done: make(chan claim.Result, 1)}
 	sh.add(wa)
@@ -66,7 +66,7 @@
 }
 
 // Settle gives a claim back in the background, again and again if need be.
-func (bo *Book) Settle(op claim.Op) {
+func (bo *Registry) ReleaseInBackground(op claim.Op) {
 	op.Kind = claim.Release
 	begin := bo.Clock.Now()
 	bo.later(func(ctx context.Context) bool {
@@ -83,14 +83,14 @@
 }
 
 // Record stores an outcome in the background.
-func (bo *Book) Record(op claim.Op) {
+func (bo *Registry) RecordInBackground(op claim.Op) {
 	op.Kind = claim.Record
 	bo.later(func(ctx context.Context) bool { return bo.Do(ctx, op).Answer != claim.Unavailable })
 }
 
 const backgroundTimeout = 5 * time.Second
 
-func (bo *Book) later(try func(ctx context.Context) bool) {
+func (bo *Registry) later(try func(ctx context.Context) bool) {
 	bo.pending.Add(1)
 	go func() {
 		defer bo.pending.Done()
@@ -107,7 +107,7 @@
 }
 
 // Wait returns when the background work is done or ctx ends.
-func (bo *Book) Wait(ctx context.Context) {
+func (bo *Registry) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		bo.pending.Wait()
@@ -119,7 +119,7 @@
 	}
 }
 
-func (bo *Book) shard(num int) *shard {
+func (bo *Registry) shard(num int) *shard {
 	bo.mu.Lock()
 	defer bo.mu.Unlock()
 	if bo.shards[num] == nil {
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -39,7 +39,7 @@
 func bubble(t *testing.T, fn func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		fn(t)
-		time.Sleep(2 * WritePause)
+		time.Sleep(2 * MinWriteInterval)
 	})
 }
 
@@ -48,8 +48,8 @@
 	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: print}
 }
 
-func newBook(st *standin.Store) *Book {
-	return &Book{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
+func newBook(st *standin.Store) *Registry {
+	return &Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 }
 
 // runs counts how often each key was dispatched.
@@ -83,7 +83,7 @@
 func randomClaims(steps []int) error {
 	st := standin.NewStore(clock.System{})
 	ru := &runs{keys: make(map[string]int)}
-	books := []*Book{newBook(st), newBook(st)}
+	books := []*Registry{newBook(st), newBook(st)}
 	all := slices.Clone(books)
 	var wg sync.WaitGroup
 	for i, step := range steps {
@@ -120,7 +120,7 @@
 }
 
 // attempt is one request with a key; crash tells where the daemon dies.
-func attempt(bo *Book, ru *runs, key, holder string, crash int) {
+func attempt(bo *Registry, ru *runs, key, holder string, crash int) {
 	const (
 		beforeDispatch = 1
 		refused        = 2
@@ -132,7 +132,7 @@
 	switch bo.Do(ctx, op).Answer {
 	case claim.Granted:
 	case claim.Unavailable:
-		bo.Settle(op)
+		bo.ReleaseInBackground(op)
 		return
 	default:
 		return
@@ -150,7 +150,7 @@
 		return
 	}
 	op.Outcome = &claim.Outcome{Status: 200}
-	bo.Record(op)
+	bo.RecordInBackground(op)
 }
 
 // Many daemons without an owner between them write the same shard at once.
@@ -195,7 +195,7 @@
 		}
 		again := op
 		again.Holder = "b"
-		for name, bo := range map[string]*Book{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
+		for name, bo := range map[string]*Registry{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
 			if got := bo.Do(ctx, again).Answer; got != claim.Duplicate {
 				t.Errorf("%s: acquire = %v, want duplicate", name, got)
 			}
@@ -215,7 +215,7 @@
 
 // fill claims keys of one shard until a slice is full. Keys are numbered from
 // first on.
-func (bo *Book) fill(shard, first int) {
+func (bo *Registry) fill(shard, first int) {
 	var wg sync.WaitGroup
 	body := strings.Repeat("x", claim.MaxOutcomeBytes)
 	for i := range claim.SliceBytes/len(body) + 10 {
@@ -286,7 +286,7 @@
 			time.Sleep(2500 * time.Microsecond)
 		}
 		wg.Wait()
-		limit := int(time.Second/WritePause) + 2
+		limit := int(time.Second/MinWriteInterval) + 2
 		if got := st.Calls()["put"]; got > limit {
 			t.Errorf("400 bookings cost %d writes, want at most %d", got, limit)
 		}
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -69,7 +69,7 @@
 
 func (sh *shard) work() {
 	for {
-		if pause := WritePause - sh.clock.Now().Sub(sh.wroteAt); pause > 0 {
+		if pause := MinWriteInterval - sh.clock.Now().Sub(sh.wroteAt); pause > 0 {
 			sh.clock.Sleep(context.Background(), pause)
 		}
 		sh.mu.Lock()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -101,7 +101,7 @@
 // Watch implements Store.
 func (cl *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) error {
 	_, _, err := cl.kv().Watch(ctx, prefix, int64(after), wait)
-	if errors.Is(err, platform.ErrHistoryGone) {
+	if errors.Is(err, platform.ErrCompacted) {
 		// There may have been a change.
 		return nil
 	}
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	return outcome(cl.kv().End(ctx, id))
+	return outcome(cl.kv().Revoke(ctx, id))
 }
 
 // leaseID is a lease's number; 0 stands for none.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -79,7 +79,7 @@
 		return
 	}
 	defer rsp.Body.Close()
-	var an platform.ResolveAnswer
+	var an platform.ResolveResponse
 	if json.NewDecoder(rsp.Body).Decode(&an) != nil || len(an.Addresses) == 0 {
 		return
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -101,13 +101,13 @@
 // sighup sends SIGHUP to a daemon.
 func sighup(so *Soak, rnd *rand.Rand, _ time.Duration) { pick(rnd, so.daemons).signal(syscall.SIGHUP) }
 
-var storeFaults = []emulator.StoreFault{emulator.Busy, emulator.Silent, emulator.LosesAnswers}
+var storeFaults = []emulator.StoreFault{emulator.Busy, emulator.Unresponsive, emulator.DropsResponses}
 
 func storeFaultForOne(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	sp := pick(rnd, so.storeProxies)
 	sp.SetFault(pick(rnd, storeFaults))
 	so.sleep(dur)
-	sp.SetFault(emulator.Sound)
+	sp.SetFault(emulator.NoStoreFault)
 }
 
 func storeFaultForAll(so *Soak, rnd *rand.Rand, dur time.Duration) {
@@ -117,18 +117,18 @@
 	}
 	so.sleep(dur)
 	for _, sp := range so.storeProxies {
-		sp.SetFault(emulator.Sound)
+		sp.SetFault(emulator.NoStoreFault)
 	}
 }
 
 // compactHistory changes the configuration while watches are muted and then compacts
 // the store's history, so that no watch can deliver the change.
 func compactHistory(so *Soak, _ *rand.Rand, _ time.Duration) {
-	so.deployment.Store.Mute(true)
+	so.deployment.Store.MuteWatches(true)
 	so.configure()
 	so.sleep(time.Second)
 	so.deployment.Store.Compact()
-	so.deployment.Store.Mute(false)
+	so.deployment.Store.MuteWatches(false)
 }
 
 // revokeLeases ends all leases in the store.
@@ -155,7 +155,7 @@
 	}
 	so.deployment.Kill(id)
 	so.sleep(dur)
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.addServer()
 }
 
@@ -174,13 +174,13 @@
 	so.deployment.Leave(id)
 	// Requests last for one second; the server runs longer than that.
 	so.sleep(2 * drainTime)
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.deployment.Kill(id)
 }
 
 // failRequests makes a server fail some of its requests in one way.
 func failRequests(so *Soak, rnd *rand.Rand, dur time.Duration) {
-	kinds := []emulator.Fault{emulator.Refuses, emulator.Fails, emulator.Truncates, emulator.LosesAnswer, emulator.Foreign}
+	kinds := []emulator.Fault{emulator.Refuses, emulator.Fails, emulator.Truncates, emulator.DropsResponse, emulator.MismatchedResponse}
 	so.injectServerFault(rnd, pick(rnd, kinds), dur)
 }
 
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -60,20 +60,20 @@
 func announceLimit(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	sv := so.pickServer(rnd)
 	so.Log.Info("soak: server announces a limit.", "server", sv.ID, "for", dur)
-	sv.SetNeed(emulator.Need{Limit: "1"})
+	sv.SetBackpressure(emulator.Backpressure{Limit: "1"})
 	begin := time.Now()
 	so.sleep(limitPropagation + limitWindow + dur)
-	so.check.CheckLimit(sv.ID, sv.Busiest(limitWindow, begin.Add(limitPropagation)), begin)
-	sv.SetNeed(emulator.Need{})
+	so.check.CheckLimit(sv.ID, sv.PeakArrivals(limitWindow, begin.Add(limitPropagation)), begin)
+	sv.SetBackpressure(emulator.Backpressure{})
 }
 
 // announceRetryAfter makes a server shed requests and announce a retry-after of 2 s.
 func announceRetryAfter(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	sv := so.pickServer(rnd)
 	so.Log.Info("soak: server sheds requests and announces retry-after.", "server", sv.ID, "for", dur)
-	sv.SetNeed(emulator.Need{Sheds: true, Rest: "2"})
+	sv.SetBackpressure(emulator.Backpressure{Sheds: true, RetryAfter: "2"})
 	so.sleep(dur)
-	sv.SetNeed(emulator.Need{})
+	sv.SetBackpressure(emulator.Backpressure{})
 }
 
 // announceLeaving makes a server announce in its responses that it is leaving. Its entry
@@ -86,9 +86,9 @@
 	}
 	so.Log.Info("soak: server announces in its responses that it is leaving.", "server", id)
 	so.addServer()
-	so.deployment.Server(id).SetNeed(emulator.Need{Leaving: true})
+	so.deployment.Server(id).SetBackpressure(emulator.Backpressure{Leaving: true})
 	so.sleep(2 * drainTime)
 	defer so.check.BeginFault()()
-	so.deployment.Forget(id)
+	so.deployment.Deregister(id)
 	so.deployment.Kill(id)
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -44,7 +44,7 @@
 	daemons    []*process
 	// storeProxies inject faults into the responses of the store, and
 	// storeTCPProxies into the connections to it. Both are indexed by daemon.
-	storeProxies    []*emulator.Gate
+	storeProxies    []*emulator.StoreProxy
 	storeTCPProxies []*Proxy
 	mu              sync.Mutex
 	// serverTCPProxies are the proxies in front of the servers, by server ID.
@@ -96,13 +96,13 @@
 // start starts the emulated platform and the daemons, each with proxies of its own to
 // the store.
 func (so *Soak) start() error {
-	so.deployment = &emulator.Deployment{Models: so.ModelServers, Desks: so.PlainServers, EventEvery: eventInterval, Proxy: so.proxyServer}
+	so.deployment = &emulator.Deployment{ModelServers: so.ModelServers, PlainServers: so.PlainServers, EventInterval: eventInterval, Proxy: so.proxyServer}
 	if err := so.deployment.Start(so.ctx); err != nil {
 		return err
 	}
 	ip := func(num int) string { return fmt.Sprintf("127.0.%d.%d", so.Subnet, num+1) }
 	for num := range so.Daemons {
-		sp, addr, err := so.deployment.OpenGate()
+		sp, addr, err := so.deployment.OpenStoreProxy()
 		if err != nil {
 			return err
 		}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -122,7 +122,7 @@
 	results := make(chan bool, len(ring))
 	for _, ra := range ring[1:] {
 		go func() {
-			re, _, err := (endpoint.Members{}).Probe(ctx, ra.Address)
+			re, _, err := (endpoint.MemberClient{}).Probe(ctx, ra.Address)
 			results <- err == nil && re.Ready && re.Group == mine.Group && re.Fence == mine.Fence && re.Generation == mine.Generation
 		}()
 	}
@@ -206,17 +206,17 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	stale := ob.Fence < en.report.Fence || ob.Fence == en.report.Fence && ob.Turn < en.report.Generation
+	stale := ob.Fence < en.report.Fence || ob.Fence == en.report.Fence && ob.Generation < en.report.Generation
 	if ob.Incarnation != en.Incarnation || stale && !en.IgnoresFencing {
 		http.Error(w, "old order", http.StatusConflict)
 		return
 	}
-	if ob.Fence == en.report.Fence && ob.Turn == en.report.Generation && ob.Group == en.report.Group && en.loading {
+	if ob.Fence == en.report.Fence && ob.Generation == en.report.Generation && ob.Group == en.report.Group && en.loading {
 		return
 	}
 	en.generation++
 	en.loading = false
-	en.report.Fence, en.report.Generation = ob.Fence, ob.Turn
+	en.report.Fence, en.report.Generation = ob.Fence, ob.Generation
 	if ob.Kind == endpoint.KindRelease {
 		en.report.Group, en.report.Ready, en.report.Ring, en.ring, en.ringComplete = "", false, nil, nil, false
 		return
