--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -57,8 +57,8 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return failed, err
 		}
-		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, Models: op.ModelServers,
-			Desks: op.PlainServers, Clients: op.Clients, Time: op.FaultDuration, Every: op.FaultInterval, Subnet: op.Subnet}
+		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, ModelServers: op.ModelServers,
+			PlainServers: op.PlainServers, Clients: op.Clients, Duration: op.FaultDuration, FaultInterval: op.FaultInterval, Subnet: op.Subnet}
 		violations, err := so.Run(ctx)
 		if err != nil {
 			return failed, err
--- a/internal/daemon/answer_test.go
+++ b/internal/daemon/answer_test.go
@@ -41,8 +41,8 @@
 	// The engines close the stream after some tokens. Another group resumes the
 	// response, and the caller receives each token exactly once.
 	t.Run("cut", func(t *testing.T) {
-		sk.leaders()[0].engine.SetFaults(standin.EngineFaults{CutAfter: 7})
-		sk.leaders()[1].engine.SetFaults(standin.EngineFaults{CutAfter: 5})
+		sk.leaders()[0].engine.SetFaults(standin.EngineFaults{DisconnectAfter: 7})
+		sk.leaders()[1].engine.SetFaults(standin.EngineFaults{DisconnectAfter: 5})
 		defer faultAll(standin.EngineFaults{})
 		check(t)
 	})
@@ -56,7 +56,7 @@
 	// connection with an old response in flight.
 	t.Run("late-answer", func(t *testing.T) {
 		for _, eh := range sk.leaders()[:1] {
-			eh.engine.SetFaults(standin.EngineFaults{Foreign: true})
+			eh.engine.SetFaults(standin.EngineFaults{MismatchedResponse: true})
 		}
 		defer faultAll(standin.EngineFaults{})
 		for range 4 {
@@ -67,7 +67,7 @@
 	// response may contain text of another.
 	t.Run("many", func(t *testing.T) {
 		for _, eh := range sk.leaders() {
-			eh.engine.SetFaults(standin.EngineFaults{CutAfter: 3})
+			eh.engine.SetFaults(standin.EngineFaults{DisconnectAfter: 3})
 		}
 		var wg sync.WaitGroup
 		for i := range 40 {
@@ -82,7 +82,7 @@
 		_ = sk.client(0).Stream(ctx, ch, func(string) { cancel() })
 		sk.waitUntil("the engines stop", func() bool {
 			for _, eh := range sk.engines {
-				if eh.engine.Busy() > 0 {
+				if eh.engine.InFlight() > 0 {
 					return false
 				}
 			}
--- a/internal/daemon/once_test.go
+++ b/internal/daemon/once_test.go
@@ -54,7 +54,7 @@
 	// The service runs the booking and its response is lost. The caller gets
 	// the verdict may-have-run, and a retry must not run the booking again.
 	t.Run("lost-answer", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+		sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		for i := range 4 {
 			if _, ve, err := sk.book(i%2, "lost"); err != nil || ve != verdict.MayHaveRun {
 				t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
@@ -65,7 +65,7 @@
 	// The service accepts the booking and never responds, while the connection
 	// stays open.
 	t.Run("silent-connection", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{Silent: true})
+		sk.service.SetFaults(standin.ServiceFaults{Unresponsive: true})
 		if _, ve, err := sk.book(0, "silent"); err != nil || ve != verdict.MayHaveRun {
 			t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
 		}
@@ -78,7 +78,7 @@
 	// The response to the write of the claim is lost. The claim is read back
 	// and found.
 	t.Run("lost-claim", func(t *testing.T) {
-		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseAnswers: 1}})
+		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{DropResponses: 1}})
 		if status, _, err := sk.book(0, "claim"); err != nil || status != http.StatusOK {
 			t.Errorf("status = %d, %v; want %d", status, err, http.StatusOK)
 		}
@@ -116,7 +116,7 @@
 	// the endpoint has another address.
 	t.Run("without-key", func(t *testing.T) {
 		before := sk.runs("")
-		sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+		sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		rsp, raw, err := sk.post(0, confirm, `{}`, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -130,7 +130,7 @@
 	// at the other daemon. The verdict must not be not-run, and the booking
 	// must not run twice.
 	t.Run("kill", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{Slow: 300 * time.Millisecond})
+		sk.service.SetFaults(standin.ServiceFaults{Delay: 300 * time.Millisecond})
 		defer sk.service.SetFaults(standin.ServiceFaults{})
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
@@ -176,13 +176,13 @@
 		// Every write of the claim is lost before it is stored.
 		{"lost-answer",
 			func() {
-				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseWrites: 1000}})
+				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{DropWrites: 1000}})
 			},
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
 		// The platform stores the claim, but responds only after the claim has
 		// timed out.
 		{"slow",
-			func() { sk.platform.SetFaults(standin.PlatformFaults{Slow: 3 * time.Second}) },
+			func() { sk.platform.SetFaults(standin.PlatformFaults{Delay: 3 * time.Second}) },
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
 	}
 	for _, tc := range tests {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -240,7 +240,7 @@
 			time.Sleep(700 * time.Millisecond)
 			pr.cmd.Process.Signal(syscall.SIGCONT)
 		case 2:
-			sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+			sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		}
 	}
 }
