--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -145,7 +145,8 @@
 	byID   map[string]*Group
 	nextID uint32
 	groups atomic.Pointer[[]*Group]
-	turn   atomic.Uint64
+	// turn counts the selections of RoundRobin.
+	turn atomic.Uint64
 	// cache maps a prefix to the group that last served it: the upper 32 bits of an entry are those
 	// of the prefix hash, the lower 32 bits are the group's slot.
 	cache [cacheSlots]atomic.Uint64
@@ -159,7 +160,7 @@
 }
 
 // Update replaces the groups that can be selected. Groups that remain keep their counters. Groups
-// that are not near are dropped if at least one is near.
+// that are not near cannot be selected if at least one is near.
 func (ro *Router) Update(targets []Target) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -196,8 +197,8 @@
 // removeStale deletes groups that are not in targets and have no open requests.
 func (ro *Router) removeStale(targets []Target) {
 	for id, gr := range ro.byID {
-		here := slices.ContainsFunc(targets, func(ta Target) bool { return ta.ID == id })
-		if !here && gr.openRequests.Load() == 0 {
+		found := slices.ContainsFunc(targets, func(ta Target) bool { return ta.ID == id })
+		if !found && gr.openRequests.Load() == 0 {
 			delete(ro.byID, id)
 		}
 	}
@@ -248,25 +249,25 @@
 	return nil
 }
 
-// firstAllowed returns the first group that is not in except, scanning cyclically from start.
-func firstAllowed(groups []*Group, except []*Group, start int) *Group {
+// firstAllowed returns the first group that is not in exclude, scanning cyclically from start.
+func firstAllowed(groups []*Group, exclude []*Group, start int) *Group {
 	for i := range groups {
 		gr := groups[(start+i)%len(groups)]
-		if !slices.Contains(except, gr) {
+		if !slices.Contains(exclude, gr) {
 			return gr
 		}
 	}
 	return nil
 }
 
-// leastCost returns the group with the lowest cost that is not in except, ties broken at random.
-func leastCost(groups []*Group, except []*Group, cost func(*Group) int64) *Group {
+// leastCost returns the group with the lowest cost that is not in exclude, ties broken at random.
+func leastCost(groups []*Group, exclude []*Group, cost func(*Group) int64) *Group {
 	var best *Group
 	var bestCost int64
 	start := rand.IntN(len(groups))
 	for i := range groups {
 		gr := groups[(start+i)%len(groups)]
-		if slices.Contains(except, gr) {
+		if slices.Contains(exclude, gr) {
 			continue
 		}
 		if co := cost(gr); best == nil || co < bestCost {
@@ -287,13 +288,13 @@
 	if co := second.cost(rq.PromptTokens); co < bestCost {
 		best, bestCost = second, co
 	}
-	cached, part := ro.lookupPrefix(groups, rq)
+	cached, covered := ro.lookupPrefix(groups, rq)
 	if cached == nil || slices.Contains(rq.Exclude, cached) {
 		return best
 	}
 	// The prompt tokens saved by the cache are subtracted from the cost, so affinity stops by itself
 	// once the cached group has more extra load than the cache saves.
-	if cached.cost(rq.PromptTokens-rq.PromptTokens*part/int64(len(rq.Prefixes))) <= bestCost {
+	if cached.cost(rq.PromptTokens-rq.PromptTokens*covered/int64(len(rq.Prefixes))) <= bestCost {
 		return cached
 	}
 	return best
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -17,11 +17,11 @@
 
 func TestPick(t *testing.T) {
 	tests := []struct {
-		name   string
-		policy Policy
-		load   map[string]int64
-		except []string
-		want   string
+		name    string
+		policy  Policy
+		load    map[string]int64
+		exclude []string
+		want    string
 	}{
 		{"least tokens", CurrentWorkload{}, map[string]int64{"g0": 500, "g2": 500}, nil, "g1"},
 		{"tried groups are passed over", CurrentWorkload{}, map[string]int64{"g0": 500, "g1": 10, "g2": 900}, []string{"g1"}, "g0"},
@@ -40,7 +40,7 @@
 				if num := tc.load[gr.ID]; num > 0 {
 					gr.Begin(num)
 				}
-				if strings.Contains(strings.Join(tc.except, " "), gr.ID) {
+				if strings.Contains(strings.Join(tc.exclude, " "), gr.ID) {
 					rq.Exclude = append(rq.Exclude, gr)
 				}
 			}
