--- a/internal/core/rtt/rtt_test.go
+++ b/internal/core/rtt/rtt_test.go
@@ -11,7 +11,7 @@
 	const least, most = 60 * time.Millisecond, 400 * time.Millisecond
 	var es Estimator
 	if got := es.Timeout(least, most); got != least {
-		t.Errorf("timeout without samples: %v", got)
+		t.Errorf("timeout without samples: %v, want the lower bound", got)
 	}
 	steps := []struct {
 		name   string
