--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -18,7 +18,8 @@
 	window = 4 * time.Second
 	ratio  = 1.5
 	slack  = 5
-	// settleTime is the time at the start of a run after which the limit is enforced.
+	// settleTime is how long the daemons have to learn of a limit at the start of a run; requests
+	// in that time are not checked against it.
 	settleTime = 3 * time.Second
 	// heartbeatInterval is the time between two heartbeats of a daemon.
 	heartbeatInterval = 50 * time.Millisecond
@@ -288,7 +289,7 @@
 }
 
 // Guards against an endpoint that stays limited after it has stopped announcing a limit, and
-// against one that no daemon sends to any more, because its limit is 0 or because its senders
+// against one that no daemon sends to anymore, because its limit is 0 or because its senders
 // receive no requests.
 func TestLimitIsWithdrawn(t *testing.T) {
 	const ends, until = 20 * time.Second, 90 * time.Second
--- a/internal/core/backpressure/rest.go
+++ b/internal/core/backpressure/rest.go
@@ -3,8 +3,8 @@
 import "time"
 
 // An endpoint names a retry time only in its refusal to one daemon, but it usually refuses the
-// requests of the other daemons as well. If each of 195 daemons had to be refused once to find
-// out, again every three seconds, the refusals would use up the retry budget. Therefore a notice
+// requests of the other daemons as well. If each of 195 daemons found that out by a refusal of its
+// own, again every three seconds, the refusals would use up the retry budget. Therefore a notice
 // from one daemon restricts the endpoint to a few other daemons, the probers, which test whether
 // it accepts requests. Once it does, all daemons may send again.
 
