--- a/internal/core/dispatch/budget.go
+++ b/internal/core/dispatch/budget.go
@@ -61,7 +61,8 @@
 
 // allowed returns the number of repeats permitted in the window that ends now. A daemon that has
 // just started has no record of what it spent before the restart, so it may use only a part of its
-// slack; the slack of all daemons together is half of the total.
+// slack; the slack of all daemons together is half of the total. The oldest part of the ring is only
+// partly within the window: its repeats count, its requests do not.
 func (bu *Budget) allowed(ac *usage, now time.Time) float64 {
 	if now.Sub(bu.StartedAt) < bu.Window {
 		return startupShare * bu.Slack
--- a/internal/core/dispatch/budget_test.go
+++ b/internal/core/dispatch/budget_test.go
@@ -41,8 +41,8 @@
 }
 
 // excess returns the number of repeats above the limit in the worst window. The limit is the slack
-// plus the ratio of the requests of that window, of the one before it or of the one half a window
-// before it, whichever has the most.
+// plus budgetRatio times the requests of that window, of the one before it or of the one half a
+// window before it, whichever has the most.
 func (bp *budgetSim) excess() float64 {
 	span := int(budgetWindow / budgetStep)
 	sum := func(counts []int, from int) int {
@@ -62,7 +62,8 @@
 
 // Guards against daemons that restart without a record of the repeats sent before and exceed the
 // total budget. After a calm period, groups refuse requests, callers who retry double the request
-// rate, and daemons are killed; the limit must hold in each window.
+// rate, and daemons are killed. The limit must hold in each window, however much budget was left
+// unused before.
 func TestBudgetOverRestarts(t *testing.T) {
 	const daemons, slack, calm, until = 6, 130, 20 * time.Second, 45 * time.Second
 	begin := time.Unix(1000, 0)
--- a/internal/core/dispatch/demand.go
+++ b/internal/core/dispatch/demand.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// all returns the demand for all models with current requests. defaultAnswer returns the answer length in
-// tokens to assume for a model without a complete answer yet.
+// all returns the demand for all models with current requests. defaultAnswer returns the answer
+// length in tokens to assume for a model without a complete answer yet.
 func (dm demands) all(defaultAnswer func(model string) float64, now time.Time) map[string]catalog.Demand {
 	all := make(map[string]catalog.Demand, len(dm))
 	for model, de := range dm {
@@ -81,7 +81,7 @@
 // there are only a few samples.
 const minCountingTime = 400 * time.Millisecond
 
-// RecordAnswer records a complete answer with that number of events.
+// RecordAnswer records a complete answer of the given number of events.
 func (ta *Table) RecordAnswer(gr *Group, events int, now time.Time) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -33,9 +33,9 @@
 		Members: []catalog.Member{{ID: name + "-0"}, {ID: name + "-1"}}}
 }
 
-func need(except ...*Group) Request {
+func testRequest(exclude ...*Group) Request {
 	return Request{Service: "engine", Model: "large", Prompt: 1000, Objective: 300 * time.Millisecond,
-		MaxPause: 300 * time.Millisecond, MaxWait: time.Second, Exclude: except}
+		MaxPause: 300 * time.Millisecond, MaxWait: time.Second, Exclude: exclude}
 }
 
 func ignore(error) {}
@@ -64,9 +64,9 @@
 // the groups, and that those beyond the groups' slots are refused at once with a retry time.
 func TestBurstIsSpreadAndBounded(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"), group("c", "there"))
-	taken, refused := map[string]int{}, 0
+	picked, refused := map[string]int{}, 0
 	for range 120 {
-		ch, ti := ta.Pick(need(), ignore, begin)
+		ch, ti := ta.Pick(testRequest(), ignore, begin)
 		if ti == nil {
 			refused++
 			if ch.RetryAfter <= 0 {
@@ -74,11 +74,11 @@
 			}
 			continue
 		}
-		taken[ch.Group.Name]++
+		picked[ch.Group.Name]++
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		if taken[name] == 0 || taken[name] > 26 {
-			t.Errorf("%d requests at group %s, want 1 to 26", taken[name], name)
+		if picked[name] == 0 || picked[name] > 26 {
+			t.Errorf("%d requests at group %s, want 1 to 26", picked[name], name)
 		}
 	}
 	if refused == 0 {
@@ -92,12 +92,12 @@
 	ta := table(group("a", "here"), group("b", "here"))
 	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, Context: 30000}}}, begin)
 	for range 5 {
-		if ch, _ := ta.Pick(need(), ignore, begin); ch.Group == nil || ch.Group.Name != "b" {
+		if ch, _ := ta.Pick(testRequest(), ignore, begin); ch.Group == nil || ch.Group.Name != "b" {
 			t.Fatalf("picked %v, want b: the other daemon has filled group a", ch.Group)
 		}
 	}
 	ta.ApplyPeerWork("third", Work{}, begin.Add(maxPeerLoadAge+time.Second))
-	if ch, _ := ta.Pick(need(), ignore, begin.Add(maxPeerLoadAge+time.Second)); ch.Group.Name != "a" {
+	if ch, _ := ta.Pick(testRequest(), ignore, begin.Add(maxPeerLoadAge+time.Second)); ch.Group.Name != "a" {
 		t.Error("an expired report still counts")
 	}
 }
@@ -106,7 +106,7 @@
 // no load counts twice, whether it was reported directly or relayed last.
 func TestRelayedWork(t *testing.T) {
 	steward, other := table(group("a", "here"), group("b", "here")), table(group("a", "here"), group("b", "here"))
-	if _, ti := steward.Pick(need(other.groups["b"], steward.groups["b"]), ignore, begin); ti == nil {
+	if _, ti := steward.Pick(testRequest(other.groups["b"], steward.groups["b"]), ignore, begin); ti == nil {
 		t.Fatal("request refused")
 	}
 	steward.ApplyPeerWork("one", Work{Loads: map[string]Load{"a": {Requests: 2}, "b": {Requests: 1}}}, begin)
@@ -131,7 +131,7 @@
 func TestStall(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	ch, ti := ta.Pick(need(), cancel, begin)
+	ch, ti := ta.Pick(testRequest(), cancel, begin)
 	ti.Event(begin.Add(50 * time.Millisecond))
 	if got := ta.StalledGroups(begin.Add(200 * time.Millisecond)); len(got) != 0 {
 		t.Fatalf("groups %v stalled after 150 ms, want none", got)
@@ -141,7 +141,7 @@
 		t.Fatalf("stalled groups: %v, want %s", got, ch.Group.Name)
 	}
 	for range 10 {
-		if other, _ := ta.Pick(need(), ignore, later); other.Group == ch.Group {
+		if other, _ := ta.Pick(testRequest(), ignore, later); other.Group == ch.Group {
 			t.Fatal("a request was sent to a stalled group")
 		}
 	}
@@ -154,13 +154,13 @@
 // Checks that an event after a stall makes the group available again.
 func TestStallEnds(t *testing.T) {
 	ta := table(group("a", "here"))
-	_, ti := ta.Pick(need(), ignore, begin)
+	_, ti := ta.Pick(testRequest(), ignore, begin)
 	ta.StalledGroups(begin.Add(time.Second))
-	if ch, _ := ta.Pick(need(), ignore, begin.Add(time.Second)); ch.Group != nil {
+	if ch, _ := ta.Pick(testRequest(), ignore, begin.Add(time.Second)); ch.Group != nil {
 		t.Fatal("picked a stalled group")
 	}
 	ti.Event(begin.Add(1100 * time.Millisecond))
-	if ch, _ := ta.Pick(need(), ignore, begin.Add(1100*time.Millisecond)); ch.Group == nil {
+	if ch, _ := ta.Pick(testRequest(), ignore, begin.Add(1100*time.Millisecond)); ch.Group == nil {
 		t.Error("the group is not used after its stall has ended")
 	}
 }
@@ -171,7 +171,7 @@
 func TestSlowFirstEventIsNoStall(t *testing.T) {
 	ta := table(group("a", "here"))
 	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, Context: 30000, Prefill: 9000}}}, begin)
-	ne := need()
+	ne := testRequest()
 	ne.Objective, ne.MaxPause = time.Second, time.Second
 	if _, ti := ta.Pick(ne, ignore, begin); ti == nil {
 		t.Fatal("request refused")
@@ -194,14 +194,14 @@
 // connection timeout first, and its answer from the next group is late.
 func TestUnreachableHeadExcludesGroup(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ch, ti := ta.Pick(need(), ignore, begin)
+	ch, ti := ta.Pick(testRequest(), ignore, begin)
 	ta.MarkUnreachable(ch.Group)
 	ti.End()
 	if got := ta.StalledGroups(begin); len(got) != 1 || got[0].Name != ch.Group.Name {
 		t.Errorf("groups to probe: %v, want %s", got, ch.Group.Name)
 	}
 	for range 10 {
-		other, ti := ta.Pick(need(), ignore, begin)
+		other, ti := ta.Pick(testRequest(), ignore, begin)
 		if other.Group == ch.Group {
 			t.Fatal("a request was sent to a group whose head is unreachable")
 		}
@@ -213,7 +213,7 @@
 	}
 	used := false
 	for range 40 {
-		other, _ := ta.Pick(need(), ignore, begin)
+		other, _ := ta.Pick(testRequest(), ignore, begin)
 		used = used || other.Group == ch.Group
 	}
 	if !used {
@@ -226,7 +226,7 @@
 func TestGroupLeavesView(t *testing.T) {
 	ta := table(group("a", "here"))
 	ctx, cancel := context.WithCancelCause(context.Background())
-	_, ti := ta.Pick(need(), cancel, begin)
+	_, ti := ta.Pick(testRequest(), cancel, begin)
 	ti.Event(begin)
 	ta.Update(&catalog.View{}, &catalog.Config{}, begin)
 	ta.StalledGroups(begin.Add(100 * time.Millisecond))
@@ -242,7 +242,7 @@
 // Checks that the load of a request is counted until it ends, and exactly once.
 func TestLoadIsReleased(t *testing.T) {
 	ta := table(group("a", "here"))
-	_, ti := ta.Pick(need(), ignore, begin)
+	_, ti := ta.Pick(testRequest(), ignore, begin)
 	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Prefill: 1000}); got != want {
 		t.Errorf("before the first event: %+v, want %+v", got, want)
 	}
@@ -362,7 +362,7 @@
 	}
 	ta := table(groups...)
 	for b.Loop() {
-		if _, ti := ta.Pick(need(), ignore, begin); ti != nil {
+		if _, ti := ta.Pick(testRequest(), ignore, begin); ti != nil {
 			ti.End()
 		}
 	}
--- a/internal/core/dispatch/late.go
+++ b/internal/core/dispatch/late.go
@@ -78,8 +78,8 @@
 	return Hold{Delay: min(most, max(0, next.Sub(now))), MaxDelay: most}
 }
 
-// serviceTime returns the time that a request with that many prompt tokens takes of a group whose
-// slots are all in use.
+// serviceTime returns the capacity that a request with the given number of prompt tokens uses, as
+// time of a group whose slots are all in use.
 func (ta *Table) serviceTime(gr *Group, prompt int64) time.Duration {
 	answer := gr.engine.MeanAnswer
 	if de := ta.demands[gr.Model]; de != nil && de.answerCount > 0 {
--- a/internal/core/dispatch/late_test.go
+++ b/internal/core/dispatch/late_test.go
@@ -11,9 +11,9 @@
 	var late, heldLate, lost float64
 	const seeds = 2
 	for seed := range uint64(seeds) {
-		late += simulateBacklog(seed, false).lateShare() / seeds
+		late += simulateBacklog(seed, false).missedFraction() / seeds
 		held := simulateBacklog(seed, true)
-		heldLate += held.lateShare() / seeds
+		heldLate += held.missedFraction() / seeds
 		lost += (1 - float64(held.late.complete)/float64(held.late.sent)) / seeds
 	}
 	t.Logf("share of new requests late: %.3f, with late requests delayed: %.3f; share of the backlog not answered: %.3f", late, heldLate, lost)
@@ -25,8 +25,8 @@
 	}
 }
 
-// lateShare returns the fraction of the new requests that missed their objective.
-func (pw *passSim) lateShare() float64 {
+// missedFraction returns the fraction of the new requests that missed their objective.
+func (pw *passSim) missedFraction() float64 {
 	return 1 - float64(pw.fresh.inTime)/float64(pw.fresh.sent)
 }
 
@@ -52,14 +52,14 @@
 func TestLateRequestsPassWithFreeCapacity(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
 	ta.SetDaemonCount(1)
-	late := slotSimNeed()
+	late := slotSimRequest()
 	late.Objective = -time.Second
 	const left = 4 * time.Second
 	if ho := ta.HoldLate(late, left, begin); ho.Delay != 0 {
 		t.Errorf("a single late request is delayed for %v, want 0", ho.Delay)
 	}
 	for range 100 {
-		if ho := ta.HoldLate(slotSimNeed(), left, begin); ho.Delay != 0 {
+		if ho := ta.HoldLate(slotSimRequest(), left, begin); ho.Delay != 0 {
 			t.Fatalf("a request that is not late is delayed for %v, want 0", ho.Delay)
 		}
 	}
--- a/internal/core/dispatch/overload_test.go
+++ b/internal/core/dispatch/overload_test.go
@@ -109,7 +109,7 @@
 	}
 	for _, rr := range broken.running {
 		ti := rr.ticket
-		ne := slotSimNeed()
+		ne := slotSimRequest()
 		ne.Resumed, ne.Exclude = true, []*Group{ti.Group}
 		ch, moved := ti.ta.Pick(ne, ignore, cw.now)
 		ti.End()
@@ -154,7 +154,7 @@
 	}
 }
 
-func slotSimNeed() Request {
+func slotSimRequest() Request {
 	return Request{Service: "engine", Model: "large", Prompt: 100, Objective: 200 * time.Millisecond,
 		MaxPause: 200 * time.Millisecond, MaxWait: time.Second}
 }
@@ -162,7 +162,7 @@
 // arrive sends a request to a random daemon. retry marks a second attempt.
 func (cw *slotSim) arrive(retry bool) {
 	ta := cw.daemons[cw.rnd.IntN(len(cw.daemons))]
-	ne := slotSimNeed()
+	ne := slotSimRequest()
 	if retry {
 		ne.Objective -= slotSimRetryDelay
 	}
@@ -335,11 +335,11 @@
 	ta.Update(&catalog.View{Groups: []catalog.Group{group("a", "here"), group("b", "there")}},
 		&catalog.Config{Services: map[string]catalog.Service{"engine": {Engine: &catalog.Engine{Slots: 2, Stride: 1}}}}, begin)
 	for i := range 4 {
-		if _, ti := ta.Pick(need(), ignore, begin); ti == nil {
+		if _, ti := ta.Pick(testRequest(), ignore, begin); ti == nil {
 			t.Fatalf("request %d of 4 was refused by groups with 4 slots", i+1)
 		}
 	}
-	if _, ti := ta.Pick(need(), ignore, begin); ti != nil {
+	if _, ti := ta.Pick(testRequest(), ignore, begin); ti != nil {
 		t.Error("a fifth request was sent to groups with 4 slots")
 	}
 }
--- a/internal/core/dispatch/passes_test.go
+++ b/internal/core/dispatch/passes_test.go
@@ -132,7 +132,7 @@
 	return max(1, int64(min(most, mean*math.Exp(sigma*pw.rnd.NormFloat64()-sigma*sigma/2))))
 }
 
-func (pw *passSim) need(rq *passRequest) Request {
+func (pw *passSim) dispatchRequest(rq *passRequest) Request {
 	return Request{Service: "engine", Model: "large", Prompt: rq.prompt, Objective: pw.objective - rq.waited - pw.now.Sub(rq.arrived),
 		FinalAttempt: !rq.until.IsZero() && pw.now.Add(passRecheck).After(rq.until), MaxPause: 200 * time.Millisecond, MaxWait: 1500 * time.Millisecond}
 }
@@ -140,7 +140,7 @@
 // arrive passes the request to its daemon, which may delay it if it is late.
 func (pw *passSim) arrive(rq *passRequest) {
 	pw.count(rq).sent++
-	if ho := rq.ta.HoldLate(pw.need(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.Delay > 0 {
+	if ho := rq.ta.HoldLate(pw.dispatchRequest(rq), passTimeout-rq.waited, pw.now); pw.hold && ho.Delay > 0 {
 		rq.until = pw.now.Add(ho.MaxDelay)
 		pw.held = append(pw.held, heldRequest{pw.now.Add(ho.Delay), rq})
 		return
@@ -163,7 +163,7 @@
 
 // pick sends the request to a group, delays it again or counts it as refused.
 func (pw *passSim) pick(rq *passRequest) {
-	ch, ti := rq.ta.Pick(pw.need(rq), ignore, pw.now)
+	ch, ti := rq.ta.Pick(pw.dispatchRequest(rq), ignore, pw.now)
 	if ti == nil && pw.now.Add(passRecheck).Before(rq.until) {
 		pw.held = append(pw.held, heldRequest{pw.now.Add(passRecheck), rq})
 		return
--- a/internal/core/dispatch/plain.go
+++ b/internal/core/dispatch/plain.go
@@ -46,7 +46,9 @@
 // embedded part is read without the lock, so it is never changed.
 type PlainEndpoint struct {
 	catalog.PlainEndpoint
-	leaving             bool
+	leaving bool
+	// openRequests is the number of this daemon's requests that have not ended, failures the number
+	// of consecutive failures.
 	openRequests        int
 	failures            int
 	smoothedFailureRate float64
@@ -79,15 +81,15 @@
 }
 
 // Pick returns the endpoint of a service with the lowest cost and counts a request there. It returns
-// nil if no endpoint outside except accepts requests. The caller must end the request with
+// nil if no endpoint outside exclude accepts requests. The caller must end the request with
 // RecordResponse, RecordFailure or Release.
-func (pl *Plain) Pick(service string, except []*PlainEndpoint, now time.Time) *PlainEndpoint {
+func (pl *Plain) Pick(service string, exclude []*PlainEndpoint, now time.Time) *PlainEndpoint {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var best *PlainEndpoint
 	var bestCost float64
 	for _, ep := range pl.services[service] {
-		if ep.leaving || slices.Contains(except, ep) || !pl.Backpressure.Accepts(ep.Instance(), now) {
+		if ep.leaving || slices.Contains(exclude, ep) || !pl.Backpressure.Accepts(ep.Instance(), now) {
 			continue
 		}
 		if co := pl.cost(ep, now); best == nil || co < bestCost {
@@ -106,13 +108,13 @@
 func (pl *Plain) WaitTime(service string, now time.Time) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	var lives []catalog.Instance
+	var instances []catalog.Instance
 	for _, ep := range pl.services[service] {
 		if !ep.leaving {
-			lives = append(lives, ep.Instance())
+			instances = append(instances, ep.Instance())
 		}
 	}
-	return waitTime(pl.Backpressure, lives, now)
+	return waitTime(pl.Backpressure, instances, now)
 }
 
 // cost returns the cost of sending a request to the endpoint, in waiting requests. The random term
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -47,9 +47,9 @@
 func predict(en *catalog.Engine, mo catalog.Model, slowness float64, lo Load, prompt int64) Prediction {
 	pace := mo.TimeFactor() * max(slowness, 1)
 	steps := passTime(en, lo.Requests+1, lo.Context+prompt)
-	read := prefillTime(en, lo.Prefill+prompt)
+	prefill := prefillTime(en, lo.Prefill+prompt)
 	current := passTime(en, lo.Requests, lo.Context)
-	pass := scale(steps+read, pace)
+	pass := scale(steps+prefill, pace)
 	pr := Prediction{FirstEvent: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
 	if lo.Requests == 0 {
 		pr.FirstEvent = pass
--- a/internal/core/dispatch/spread.go
+++ b/internal/core/dispatch/spread.go
@@ -22,7 +22,7 @@
 
 const (
 	// estimateStep is the time step of the estimate of the others' requests. estimateHorizonDelays
-	// is how far back the estimate goes, in report delays.
+	// limits how far back the estimate goes, in report delays.
 	estimateStep          = 10 * time.Millisecond
 	estimateHorizonDelays = 4
 	// concurrentWindow is the time within which daemons select groups without information about each
@@ -34,11 +34,11 @@
 // sent to a model's groups since their last reports.
 func (ta *Table) estimatePeers(model string, now time.Time) {
 	var groups []*Group
-	var closed []bool
+	var unavailable []bool
 	for _, gr := range ta.byName {
 		if gr.Model == model && gr.inView {
 			groups = append(groups, gr)
-			closed = append(closed, gr.leaving || gr.stalled || ta.Backpressure.Restricted(gr.head(), now))
+			unavailable = append(unavailable, gr.leaving || gr.stalled || ta.Backpressure.Restricted(gr.head(), now))
 		}
 	}
 	if ta.reportDelay <= 0 || len(groups) == 0 {
@@ -54,7 +54,7 @@
 		levels := make([]level, len(groups))
 		for i, gr := range groups {
 			levels[i] = ta.level(gr)
-			if closed[i] {
+			if unavailable[i] {
 				levels[i].room = 0
 			}
 		}
@@ -92,9 +92,9 @@
 const unreportedMargin = 0.6
 
 // unreportedDeviation returns the standard deviation of the change of a full group's load since it
-// was reported: requests arrive and end at random, as many as there are slots within the duration of
-// one answer. Without headroom, a group is overfilled half of the time, and the requests that wait
-// for a slot are late.
+// was reported: requests arrive and end at random, on average as many as there are slots within the
+// duration of one answer. Without headroom, a group is overfilled half of the time, and the requests
+// that wait for a slot are late.
 func unreportedDeviation(slots float64, delay, answer time.Duration) float64 {
 	return min(slots, math.Sqrt(2*slots*delay.Seconds()/answer.Seconds()))
 }
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -14,7 +14,8 @@
 	// minStall is the least time without an event after which a group with requests counts as
 	// stalled. A pass takes 50 to 100 ms, and 200 ms with many prompts.
 	minStall = 260 * time.Millisecond
-	// stallPasses is the same time in predicted passes.
+	// stallPasses is the same time in predicted passes, or in predicted times to the first event if
+	// none of this daemon's requests has emitted an event yet.
 	stallPasses = 2.5
 	// recheckInterval is the time between probes of the members of a group that stays stalled
 	// although all of them respond.
@@ -61,8 +62,8 @@
 
 // stallTimeout returns how long the group may emit nothing before it counts as stalled. If no
 // request of this daemon has emitted an event yet, it is a multiple of the predicted time to the
-// first event, which takes longer under load; treating such groups as lost would shift their load to
-// the others and make their requests late in turn.
+// first event, which takes longer under load; treating loaded groups as lost would shift their load
+// to the others and make the requests there late in turn.
 func (gr *Group) stallTimeout() time.Duration {
 	pr := predict(gr.engine, gr.model, gr.slowness(), gr.ownLoad.plus(gr.peerLoad), 0)
 	for ti := range gr.streams {
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -37,7 +37,8 @@
 	demands demands
 	// estimatedUntil is the time of the last estimate of the others' requests, by model.
 	estimatedUntil map[string]time.Time
-	// residuals is the delay of first events beyond the engines' descriptions, by model.
+	// residuals holds by how much first events arrive later than the engines' descriptions predict,
+	// by model.
 	residuals residuals
 	// numDaemons is the number of daemons. nextLate is the time from which this daemon may send the
 	// next late request, by model.
@@ -208,7 +209,7 @@
 )
 
 // admissible reports whether a request that misses its objective is sent nevertheless: a late answer
-// is useful to its caller, but not if it delays all other requests.
+// is still useful to its caller, but the request must not delay all other requests.
 func admissible(ca candidate, ne Request) bool {
 	return !ca.Full && ca.FirstEvent < ne.MaxWait && ca.Pass <= ne.MaxPause
 }
@@ -282,10 +283,10 @@
 }
 
 // waitTime returns the time until the first of the endpoints is expected to accept a request. It
-// returns 0 if one accepts now, or if lives is empty.
-func waitTime(reg *backpressure.Register, lives []catalog.Instance, now time.Time) time.Duration {
+// returns 0 if one accepts now, or if instances is empty.
+func waitTime(reg *backpressure.Register, instances []catalog.Instance, now time.Time) time.Duration {
 	first := time.Duration(0)
-	for i, li := range lives {
+	for i, li := range instances {
 		wait, known := reg.WaitTime(li, now)
 		switch {
 		case !known:
