--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -23,8 +23,9 @@
 	Requests int
 	// Capacity is the number of tokens that the group can hold.
 	Capacity int64
-	// Near groups are preferred: others are selected only if no target is near.
-	Near bool
+	// Local is set for a group in this daemon's data centre. Other groups are selected only if no
+	// target is local.
+	Local bool
 }
 
 // Group is a target together with this daemon's own counters. The counters are safe for concurrent
@@ -160,15 +161,15 @@
 }
 
 // Update replaces the groups that can be selected. Groups that remain keep their counters. Groups
-// that are not near cannot be selected if at least one is near.
+// that are not local cannot be selected if at least one is local.
 func (ro *Router) Update(targets []Target) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	near := slices.ContainsFunc(targets, func(ta Target) bool { return ta.Near })
+	anyLocal := slices.ContainsFunc(targets, func(ta Target) bool { return ta.Local })
 	var groups []*Group
 	for _, ta := range targets {
 		gr := ro.group(ta)
-		if ta.Near || !near {
+		if ta.Local || !anyLocal {
 			groups = append(groups, gr)
 		}
 	}
