--- a/internal/core/dispatch/late_test.go
+++ b/internal/core/dispatch/late_test.go
@@ -41,9 +41,9 @@
 		for range int(waited.Seconds() * rate / waves) {
 			pw.arrive(pw.request(waited))
 		}
-		pw.play(rate, wave)
+		pw.simulate(rate, wave)
 	}
-	pw.play(rate, 5*time.Second)
+	pw.simulate(rate, 5*time.Second)
 	return pw
 }
 
--- a/internal/core/dispatch/overload_test.go
+++ b/internal/core/dispatch/overload_test.go
@@ -133,8 +133,8 @@
 	return float64(len(cw.groups)*engine().Slots) / cw.meanServiceTime().Seconds()
 }
 
-// play simulates requests arriving at that rate for the duration.
-func (cw *slotSim) play(perSecond float64, dur time.Duration) {
+// simulate advances the simulation by dur while requests arrive at the given rate per second.
+func (cw *slotSim) simulate(perSecond float64, dur time.Duration) {
 	for _, ta := range cw.daemons {
 		ta.SetReportDelay(slotSimReportInterval/2 + cw.reportLatency)
 	}
@@ -215,11 +215,11 @@
 		}
 	}
 	for len(cw.reports) > 0 && !cw.reports[0].at.After(cw.now) {
-		to := cw.reports[0]
+		dr := cw.reports[0]
 		cw.reports = cw.reports[1:]
 		for i, ta := range cw.daemons {
-			if i != to.from {
-				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
+			if i != dr.from {
+				ta.ApplyPeerWork(fmt.Sprint(dr.from), dr.work, dr.at)
 			}
 		}
 	}
@@ -235,10 +235,10 @@
 	for _, times := range []float64{1, 1.4, 2, 3} {
 		t.Run(fmt.Sprint(times), func(t *testing.T) {
 			cw := newSlotSim(1, 40, 12)
-			cw.play(times*cw.capacity(), 5*time.Second)
+			cw.simulate(times*cw.capacity(), 5*time.Second)
 			before, sent := cw.inTime, cw.sent
 			const span = 10 * time.Second
-			cw.play(times*cw.capacity(), span)
+			cw.simulate(times*cw.capacity(), span)
 			served := float64(cw.inTime-before) / span.Seconds() / cw.capacity()
 			t.Logf("load %.1f times the capacity: %.2f of the capacity served in time, %.2f sent", times, served,
 				float64(cw.sent-sent)/span.Seconds()/cw.capacity())
@@ -257,10 +257,10 @@
 		t.Run(fmt.Sprint(times), func(t *testing.T) {
 			cw := newSlotSim(1, 40, 12)
 			cw.retryRefused = true
-			cw.play(times*cw.capacity(), 5*time.Second)
+			cw.simulate(times*cw.capacity(), 5*time.Second)
 			inTime, late, refusedTwice := cw.inTime, cw.late, cw.refusedTwice
 			const span = 10 * time.Second
-			cw.play(times*cw.capacity(), span)
+			cw.simulate(times*cw.capacity(), span)
 			part := func(num int) float64 { return float64(num) / span.Seconds() / cw.capacity() }
 			t.Logf("load %.1f times the capacity: %.2f of the capacity served in time, %.2f late, %.2f refused twice", times,
 				part(cw.inTime-inTime), part(cw.late-late), part(cw.refusedTwice-refusedTwice))
@@ -279,10 +279,10 @@
 	for seed := range uint64(10) {
 		cw := newSlotSim(seed, 40, 12)
 		cw.reportLatency = slotSimRelayLatency
-		cw.play(0.75*cw.capacity(), 4*time.Second)
+		cw.simulate(0.75*cw.capacity(), 4*time.Second)
 		cw.form("group-new")
 		for range 30 {
-			cw.play(0.75*cw.capacity(), 20*time.Millisecond)
+			cw.simulate(0.75*cw.capacity(), 20*time.Millisecond)
 			worst = max(worst, cw.groups["group-new"].size())
 		}
 	}
@@ -300,9 +300,9 @@
 	for seed := range uint64(10) {
 		cw := newSlotSim(seed, 40, 8)
 		cw.reportLatency = slotSimRelayLatency
-		cw.play(0.5*cw.capacity(), 4*time.Second)
+		cw.simulate(0.5*cw.capacity(), 4*time.Second)
 		cw.form("group-new")
-		cw.play(0.5*cw.capacity(), 100*time.Millisecond)
+		cw.simulate(0.5*cw.capacity(), 100*time.Millisecond)
 		before := make(map[string]int)
 		for name, gr := range cw.groups {
 			before[name] = gr.size()
@@ -322,7 +322,7 @@
 // requests of other daemons.
 func TestNoRefusalsAtHalfLoad(t *testing.T) {
 	cw := newSlotSim(2, 40, 12)
-	cw.play(0.5*cw.capacity(), 10*time.Second)
+	cw.simulate(0.5*cw.capacity(), 10*time.Second)
 	if cw.refused*200 > cw.sent {
 		t.Errorf("%d of %d requests were refused at half of the capacity", cw.refused, cw.refused+cw.sent)
 	}
--- a/internal/core/dispatch/passes_test.go
+++ b/internal/core/dispatch/passes_test.go
@@ -105,8 +105,8 @@
 	return float64(len(pw.groups)) / catalog.Demand{Requests: 1, Prompt: 714, Answer: 150}.Groups(pw.engine, pw.model)
 }
 
-// play simulates requests arriving at that rate for the duration.
-func (pw *passSim) play(perSecond float64, dur time.Duration) {
+// simulate advances the simulation by dur while requests arrive at the given rate per second.
+func (pw *passSim) simulate(perSecond float64, dur time.Duration) {
 	due := 0.0
 	for end := pw.now.Add(dur); pw.now.Before(end); pw.now = pw.now.Add(passStep) {
 		for due += perSecond * passStep.Seconds(); due >= 1; due-- {
@@ -126,7 +126,8 @@
 		prompt: pw.size(714, 0.89, 2340), answer: pw.size(150, 0.7, 370)}
 }
 
-// size returns a log-normally distributed number of tokens, at most most.
+// size returns a log-normally distributed number of tokens of the given mean and relative standard
+// deviation, limited to most.
 func (pw *passSim) size(mean, spread, most float64) int64 {
 	sigma := math.Sqrt(math.Log(1 + spread*spread))
 	return max(1, int64(min(most, mean*math.Exp(sigma*pw.rnd.NormFloat64()-sigma*sigma/2))))
@@ -177,6 +178,7 @@
 	gr.waiting = append(gr.waiting, rq)
 }
 
+// count returns the counters for requests of the same kind, new or late.
 func (pw *passSim) count(rq *passRequest) *outcomes {
 	if rq.waited > 0 {
 		return &pw.late
@@ -240,11 +242,11 @@
 		}
 	}
 	for len(pw.reports) > 0 && !pw.reports[0].at.After(pw.now) {
-		to := pw.reports[0]
+		dr := pw.reports[0]
 		pw.reports = pw.reports[1:]
 		for i, ta := range pw.daemons {
-			if i != to.from {
-				ta.ApplyPeerWork(fmt.Sprint(to.from), to.work, to.at)
+			if i != dr.from {
+				ta.ApplyPeerWork(fmt.Sprint(dr.from), dr.work, dr.at)
 			}
 		}
 	}
--- a/internal/core/dispatch/residual_test.go
+++ b/internal/core/dispatch/residual_test.go
@@ -16,9 +16,9 @@
 				pw := newPassSim(1, 10, 6)
 				pw.overhead = overhead
 				rate := load * pw.capacity()
-				pw.play(rate, 4*time.Second)
+				pw.simulate(rate, 4*time.Second)
 				pw.errors = nil
-				pw.play(rate, 3*time.Second)
+				pw.simulate(rate, 3*time.Second)
 				slices.Sort(pw.errors)
 				median := pw.errors[len(pw.errors)/2]
 				t.Logf("prediction error, 10th, 50th and 90th percentile: %v, %v, %v", pw.errors[len(pw.errors)/10], median, pw.errors[len(pw.errors)*9/10])
--- a/internal/core/dispatch/spread.go
+++ b/internal/core/dispatch/spread.go
@@ -30,8 +30,8 @@
 	concurrentWindow = 10 * time.Millisecond
 )
 
-// estimatePeers updates to now the number of requests that the other daemons are expected to have
-// sent to a model's groups since their last reports.
+// estimatePeers advances to now the estimates of the requests that the other daemons have sent to a
+// model's groups since their last reports.
 func (ta *Table) estimatePeers(model string, now time.Time) {
 	var groups []*Group
 	var unavailable []bool
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -223,12 +223,12 @@
 		if !gr.accepts(ne) || !ta.Backpressure.Accepts(gr.head(), now) {
 			continue
 		}
-		le, distance := ta.level(gr), ta.remoteCost(gr)
+		le, remoteCost := ta.level(gr), ta.remoteCost(gr)
 		if ne.late() && !ne.FinalAttempt {
 			le.room -= lateReserve * float64(gr.engine.Slots)
 		}
 		cands = append(cands, candidate{gr: gr, running: le.load})
-		levels = append(levels, level{le.load + distance, le.room + distance})
+		levels = append(levels, level{le.load + remoteCost, le.room + remoteCost})
 	}
 	limit := ne.Objective
 	if ne.late() {
