--- a/internal/core/fleet/account.go
+++ b/internal/core/fleet/account.go
@@ -16,7 +16,7 @@
 	Powered int
 }
 
-// Count computes the account of the data centre that in describes.
+// Count computes the statistics of the data centre that in describes.
 func Count(in Input) Stats {
 	pl := newPlanner(in)
 	ac := Stats{Down: make(map[string]int), Serving: make(map[string]int)}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -42,8 +42,8 @@
 	// Size is the number of members that serve. The other members are spares.
 	Size    int      `json:"size"`
 	Members []Member `json:"members"`
-	// DrainingSince is the time at which the group stopped taking new requests.
-	// It is zero while the group takes them.
+	// DrainingSince is the time at which the group stopped accepting new
+	// requests. It is zero while the group accepts them.
 	DrainingSince time.Time `json:"draining-since,omitzero"`
 }
 
@@ -123,8 +123,8 @@
 	VM          VM
 	Incarnation string
 	Group       Group
-	// Ring lists the members that serve together, Generation is the number of
-	// that choice.
+	// Ring lists the members that serve together, the leader first. Generation
+	// is the number of the ring; it grows whenever the group's ring is re-formed.
 	Ring       []Member
 	Generation uint64
 	// Loads means that the VM has to fetch the weights first.
--- a/internal/core/fleet/plan.go
+++ b/internal/core/fleet/plan.go
@@ -59,7 +59,8 @@
 	// ServingSince holds the time since which each group has been complete, by
 	// group ID.
 	ServingSince map[string]time.Time
-	Epoch        uint64
+	// Epoch is the epoch of the steward that plans.
+	Epoch uint64
 	// LoadBudget is the number of weight loads that may start now.
 	LoadBudget int
 	// DrainAfter is how long a daemon that has not yet seen that a group drains
@@ -240,7 +241,7 @@
 }
 
 // settled reports whether gr has been complete for so long that all daemons
-// know of it and send it requests.
+// have learned of it and send it requests.
 func (pl *planner) settled(gr Group) bool {
 	since, ok := pl.in.ServingSince[gr.ID]
 	return ok && pl.serving(gr) && pl.in.Now.Sub(since) >= pl.in.DrainAfter
