--- a/internal/core/intent/intent.go
+++ b/internal/core/intent/intent.go
@@ -41,8 +41,8 @@
 	return err
 }
 
-// Object is one declared object. It is one of Policy, Model, Group, Workspace
-// and Endpoint.
+// Object is one declaration of the operators. It is one of Policy, Model,
+// Group, Workspace and Endpoint.
 type Object interface {
 	// ID returns kind/name, the object's key in the configuration.
 	ID() string
