--- a/internal/core/catalog/demand.go
+++ b/internal/core/catalog/demand.go
@@ -25,15 +25,15 @@
 	// A request occupies memory for its whole prompt and, on average, for half
 	// of its answer.
 	context := (prompt + answer/2) / requests
-	reading := 0.0
+	prefill := 0.0
 	if en.PrefillPerSecond > 0 {
-		reading = prompt / en.PrefillPerSecond
+		prefill = prompt / en.PrefillPerSecond
 	}
 	pairs := prompt * prompt / requests / 2
-	reading += pairs / 1e6 * en.TimePerMillionPairs.Seconds()
+	prefill += pairs / 1e6 * en.TimePerMillionPairs.Seconds()
 	perToken := en.StepPerRequest.Seconds() + context/1000*en.StepPerKContext.Seconds()
 	perToken += en.Step.Seconds() / max(1, en.concurrency(context))
-	return mo.TimeFactor() * (reading + answer*perToken)
+	return mo.TimeFactor() * (prefill + answer*perToken)
 }
 
 // concurrency returns the number of requests with a context of that many tokens
--- a/internal/core/catalog/demand_test.go
+++ b/internal/core/catalog/demand_test.go
@@ -56,7 +56,7 @@
 	}{
 		{"no requests", Engine{Slots: 10}, Demand{}},
 		{"no figures", Engine{}, Demand{Requests: 3, Prompt: 100, Answer: 10}},
-		{"no memory stated", Engine{Slots: 10, PrefillPerSecond: 100}, Demand{Requests: 3}},
+		{"no memory configured", Engine{Slots: 10, PrefillPerSecond: 100}, Demand{Requests: 3}},
 	}
 	for _, tc := range tests {
 		if got := tc.de.Groups(&tc.en, Model{}); math.IsNaN(got) || math.IsInf(got, 0) || got < 0 {
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -77,7 +77,7 @@
 // HasStaged reports whether the model's weights are on the endpoint's host.
 func (ep *Endpoint) HasStaged(model string) bool { return slices.Contains(ep.Staged, model) }
 
-// Report is an endpoint's response to a direct probe.
+// Report is an endpoint's response when it is polled directly.
 type Report struct {
 	Incarnation Incarnation
 	// Orders is the number of orders accepted since the process started.
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -62,7 +62,7 @@
 
 // Newer reports whether vi replaces other. Two views of stewards are ordered by
 // term, then by sequence. If one of the two was built from the store, they are
-// ordered by revision.
+// ordered by revision, and vi also replaces a view of the same revision.
 func (vi *View) Newer(other *View) bool {
 	if other == nil {
 		return true
