--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -65,10 +65,11 @@
 // flow is the queue of one workspace.
 type flow struct {
 	share float64
-	// virtualFinish is the virtual time at which the work admitted so far is
-	// paid for.
+	// virtualFinish is the virtual time at which the workspace's share covers
+	// the work admitted so far.
 	virtualFinish float64
-	// waiting holds the queued items by descending priority, tokens their sum.
+	// waiting holds the queued items by descending priority, tokens the sum of
+	// their tokens.
 	waiting []Item
 	tokens  int64
 }
@@ -263,8 +264,8 @@
 	qu.removeIdleFlows()
 }
 
-// removeIdleFlows removes workspaces without waiting requests whose admitted
-// work is paid for.
+// removeIdleFlows removes workspaces without waiting requests whose shares
+// cover all their admitted work.
 func (qu *Queue) removeIdleFlows() {
 	for name, fl := range qu.flows {
 		if len(fl.waiting) == 0 && fl.virtualFinish <= qu.virtualTime {
