--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -84,9 +84,12 @@
 	Response *http.Response
 	po       *Pool
 	cn       *conn
-	written  chan error
-	stop     func() bool
-	maxIdle  int
+	// written receives the result of writing the request.
+	written chan error
+	// stop detaches the exchange from its context. It returns false if the context has
+	// ended, which closes the connection.
+	stop    func() bool
+	maxIdle int
 	// complete is set once the body has been read to its end.
 	complete bool
 }
@@ -105,7 +108,7 @@
 		ex.abort()
 		return nil, &Error{Verdict: verdict.MayHaveRun, Err: err}
 	}
-	if err := ex.readHead(rq); err != nil {
+	if err := ex.readHeader(rq); err != nil {
 		ex.abort()
 		return nil, &Error{Verdict: verdict.MayHaveRun, Err: err}
 	}
@@ -138,9 +141,9 @@
 	return nil
 }
 
-// readHead reads responses until one matches this request. A server may send a duplicate
+// readHeader reads responses until one matches this request. A server may send a duplicate
 // response to an earlier request where the response to the next one is expected.
-func (ex *Exchange) readHead(rq *Request) error {
+func (ex *Exchange) readHeader(rq *Request) error {
 	for range maxSkippedResponses + 1 {
 		rsp, err := http.ReadResponse(ex.cn.br, &http.Request{Method: rq.Method})
 		if err != nil {
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -50,6 +50,7 @@
 	br     *bufio.Reader
 	addr   string
 	reused bool
+	// expiry is the time from which an idle connection is not reused.
 	expiry time.Time
 }
 
@@ -159,14 +160,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = rc.Read(func(fd uintptr) bool {
 		var buf [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 // keepAliveTimeout returns how long a connection may stay idle according to the endpoint's
