--- a/internal/endpoint/service.go
+++ b/internal/endpoint/service.go
@@ -85,7 +85,7 @@
 		return Response{}, &verdict.Error{Code: verdict.CodeForeignAnswer, Verdict: verdict.MayHaveRun,
 			Message: "the service answered request " + strconv.Quote(got)}
 	}
-	// A body that is delimited by the end of the connection cannot be told from a truncated one.
+	// If a body ends with the connection, a truncated one cannot be detected.
 	if rsp.ContentLength < 0 && !slices.Contains(rsp.TransferEncoding, "chunked") {
 		return Response{}, at.newError(verdict.CodeBrokenAnswer, "the answer does not tell its length", nil)
 	}
--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -13,8 +13,9 @@
 )
 
 // closingServer responds to the first request of each connection and closes the connection
-// after it has read a second one, as a restarting server does. It counts the requests that it
-// has read at /count.
+// after it has read a second one, as a restarting server does. It also closes it without a
+// response to a request for /count that has an Idempotency-Key. It counts the requests for
+// /count that it has read.
 func closingServer(t *testing.T) (addr string, read *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +94,7 @@
 
 // respond starts a server that sends the same raw response on each connection, and returns its
 // address.
-func respond(t *testing.T, answer string) string {
+func respond(t *testing.T, raw string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +108,7 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-				conn.Write([]byte(answer))
+				conn.Write([]byte(raw))
 			}
 			conn.Close()
 		}
@@ -118,7 +119,7 @@
 func TestResponses(t *testing.T) {
 	tests := []struct {
 		name    string
-		answer  string
+		raw     string
 		code    verdict.Code
 		verdict verdict.Verdict
 	}{
@@ -135,7 +136,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			ss := ServiceClient{Transport: NewTransport(4)}
-			_, err := ss.Do(context.Background(), Call{RequestID: "mine", Address: respond(t, tc.answer), Method: http.MethodPost, Path: "/", Timeout: time.Minute})
+			_, err := ss.Do(context.Background(), Call{RequestID: "mine", Address: respond(t, tc.raw), Method: http.MethodPost, Path: "/", Timeout: time.Minute})
 			if tc.code == "" {
 				if err != nil {
 					t.Fatalf("error = %v, want none", err)
