--- a/internal/front/content.go
+++ b/internal/front/content.go
@@ -63,7 +63,7 @@
 }
 
 // reportCompletion reports that an endpoint has completed the request and keeps running. The
-// earlier crashes under the request then had another reason.
+// earlier crashes on the request then had another reason.
 func (ca *call) reportCompletion() {
 	if ca.sv.Quarantine.Suspected(ca.fingerprint) {
 		ca.sv.OnCompletion(ca.fingerprint)
--- a/internal/front/hold_test.go
+++ b/internal/front/hold_test.go
@@ -164,10 +164,10 @@
 	}
 	results := make(chan result, 1)
 	go func() { results <- ri.send("/draft/x", "id", setTokenCounts) }()
-	stalledServer := func(but *emulator.Server) *emulator.Server {
+	stalledServer := func(exclude *emulator.Server) *emulator.Server {
 		for {
 			for _, sv := range ri.groupServers {
-				if sv != but && len(sv.Runs()) > 0 {
+				if sv != exclude && len(sv.Runs()) > 0 {
 					return sv
 				}
 			}
--- a/internal/front/plain.go
+++ b/internal/front/plain.go
@@ -38,7 +38,8 @@
 	tried []*dispatch.PlainEndpoint
 	// last is the last response that was read.
 	last *response
-	err  error
+	// err is the error of the last attempt, or nil if a response was read.
+	err error
 	// state is the verdict over all attempts.
 	state verdict.Verdict
 	// quarantinedFor is the remaining time of the request's quarantine; 0 if there is none.
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -49,9 +49,11 @@
 	// between two events. choice is the last chosen group with its prediction.
 	firstEvent, maxPause time.Duration
 	choice               dispatch.Choice
-	state                verdict.Verdict
+	// state is the verdict over all attempts.
+	state verdict.Verdict
 	// final is a response without events, to be forwarded unchanged.
 	final *response
+	// cause is the error of the last failed attempt.
 	cause error
 }
 
@@ -90,13 +92,13 @@
 	if st.endIfQuarantined() {
 		return dispatch.Choice{}, true
 	}
-	part, cancel := context.WithCancelCause(ctx)
+	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	onStall := cancel
 	if !st.mayRetryAfterNext() {
 		onStall = ignoreStall
 	}
-	ch, ti := st.pick(part, onStall)
+	ch, ti := st.pick(attemptCtx, onStall)
 	if ti == nil {
 		st.endNoGroup(ch)
 		return ch, true
@@ -115,22 +117,22 @@
 	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
 	head := ch.Group.Head()
-	ex, err := st.sv.Pool.Send(part, head.Address, st.groupRequest(head.ID))
+	ex, err := st.sv.Pool.Send(attemptCtx, head.Address, st.groupRequest(head.ID))
 	if err == nil || http1.VerdictOf(err) != verdict.NotRun {
 		st.sends++
 		sendCount.Inc()
 	}
 	if err != nil {
-		if part.Err() == nil && http1.ConnectFailed(err) {
+		if attemptCtx.Err() == nil && http1.ConnectFailed(err) {
 			st.sv.Table.MarkUnreachable(ch.Group)
 		}
-		st.attemptFailed(part, ch.Group, err, http1.VerdictOf(err))
+		st.attemptFailed(attemptCtx, ch.Group, err, http1.VerdictOf(err))
 		return ch, false
 	}
 	defer ex.Close()
 	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
-		return ch, st.handleNonStream(part, ch, ex, sent)
+		return ch, st.handleNonStream(attemptCtx, ch, ex, sent)
 	}
 	st.state = verdict.Ran
 	err = st.relay(ex, ti, sent, ch.FirstEvent)
@@ -138,7 +140,7 @@
 		st.finish()
 		return ch, true
 	}
-	st.attemptFailed(part, ch.Group, err, verdict.Ran)
+	st.attemptFailed(attemptCtx, ch.Group, err, verdict.Ran)
 	return ch, false
 }
 
@@ -176,16 +178,16 @@
 // pick chooses a group. It waits for one if the stream is to be resumed, or if the request is
 // late and was delayed.
 func (st *stream) pick(ctx context.Context, cancel context.CancelCauseFunc) (dispatch.Choice, *dispatch.Ticket) {
-	pause, until := resumePollInterval, st.sv.Clock.Now().Add(resumeTimeout)
+	interval, until := resumePollInterval, st.sv.Clock.Now().Add(resumeTimeout)
 	if !st.started {
-		pause, until = latePollInterval, st.delayLate(ctx)
+		interval, until = latePollInterval, st.delayLate(ctx)
 	}
 	for {
 		now := st.sv.Clock.Now()
 		ne := st.need(now)
-		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(pause).After(until)
+		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(interval).After(until)
 		ch, ti := st.sv.Table.Pick(ne, cancel, now)
-		if ti != nil || now.Add(pause).After(until) || st.sv.Clock.Sleep(ctx, pause) != nil {
+		if ti != nil || now.Add(interval).After(until) || st.sv.Clock.Sleep(ctx, interval) != nil {
 			return ch, ti
 		}
 	}
