--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -44,9 +44,9 @@
 	// detected.
 	endpoints map[string]catalog.Endpoint
 	missing   map[string]time.Time
-	// setAside are the keys of invalid entries that have been logged.
-	setAside map[string]bool
-	revision int64
+	// loggedInvalid are the keys of invalid entries that have been logged.
+	loggedInvalid map[string]bool
+	revision      int64
 	// firstRead is set while this daemon processes its first full read of the endpoints.
 	firstRead bool
 	departed  departedEndpoints
@@ -115,7 +115,7 @@
 
 func newControl(da *Daemon) *control {
 	return &control{da: da, events: make(chan func(), queueSize), endpoints: make(map[string]catalog.Endpoint),
-		wake: time.NewTimer(tick), missing: make(map[string]time.Time), setAside: make(map[string]bool), departed: make(departedEndpoints), crashChecks: make(crashChecks), healthy: make(healthyGroups), fetching: make(map[string]bool)}
+		wake: time.NewTimer(tick), missing: make(map[string]time.Time), loggedInvalid: make(map[string]bool), departed: make(departedEndpoints), crashChecks: make(crashChecks), healthy: make(healthyGroups), fetching: make(map[string]bool)}
 }
 
 // post queues an event for the control loop. It drops the event if the daemon ends first.
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -18,11 +18,11 @@
 
 // newTestControl returns the control state of one of 40 daemons in two data centres, with
 // configuration 5. Its control loop does not run.
-func newTestControl(power int) (*control, *clock.Manual) {
+func newTestControl(milliCPU int) (*control, *clock.Manual) {
 	cl := clock.NewManual(time.Unix(1000, 0))
 	log := slog.New(slog.DiscardHandler)
 	da := &Daemon{Clock: cl, Log: log, work: context.Background(),
-		Settings:   platform.Settings{IP: "10.0.0.200", DataCenter: "dc-0", CPUShare: float64(power) / 1000},
+		Settings:   platform.Settings{IP: "10.0.0.200", DataCenter: "dc-0", CPUShare: float64(milliCPU) / 1000},
 		quarantine: &quarantine.Ledger{}, backpressure: &backpressure.Register{},
 		mesh: &mesh.Mesh{Clock: cl, Log: log, IP: "10.0.0.200", DataCenter: "dc-0"}}
 	da.config.Store(&configuration{Config: &catalog.Config{Revision: 5}})
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -124,20 +124,21 @@
 	}
 	da.add(da.mesh.Run)
 	da.add(da.control.run)
-	da.add(func(part context.Context) error { return da.gracefulStop(ctx, part, callers) })
+	da.add(func(actorCtx context.Context) error { return da.gracefulStop(ctx, actorCtx, callers) })
 	da.Log.Info("daemon: started.", "name", da.Settings.Name, "callers", da.Settings.Callers, "data-center", da.Settings.DataCenter)
 	err = da.group.Run()
 	da.Log.Info("daemon: stopped.", "name", da.Settings.Name)
 	return err
 }
 
-// add adds fn to the run group. All functions of the group stop together.
+// add adds fn to the run group. All functions of the group stop together: the context of
+// each ends when one of them returns.
 func (da *Daemon) add(fn func(context.Context) error) {
-	part, cancel := context.WithCancel(da.work)
-	da.group.Add(func() error { return fn(part) }, func(error) { cancel() })
+	actorCtx, cancel := context.WithCancel(da.work)
+	da.group.Add(func() error { return fn(actorCtx) }, func(error) { cancel() })
 }
 
-// build creates the parts of the daemon and opens the UDP socket for heartbeats.
+// build creates the daemon's components and opens the UDP socket for heartbeats.
 func (da *Daemon) build() error {
 	set := da.Settings
 	da.store = platform.NewStore(set.Store.Address, storeTimeout)
@@ -179,14 +180,14 @@
 	set := da.Settings
 	directory := &front.Directory{Log: da.Log, Addresses: da.addresses,
 		TTLSeconds: min(addressTTLSeconds, set.Bounds.MaxTTL.Seconds())}
-	inner := net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPorts[1]))
+	internalAddr := net.JoinHostPort(set.IP, strconv.Itoa(set.InternalPorts[1]))
 	listeners := []struct {
 		name, addr string
 		handler    http.Handler
 	}{
 		{"ready", set.Ready, http.HandlerFunc(da.ready)},
 		{"directory", set.Directory, directory},
-		{"daemons", inner, da.peerHandler()},
+		{"daemons", internalAddr, da.peerHandler()},
 	}
 	if set.Peers != "" {
 		listeners = append(listeners, struct {
@@ -219,13 +220,13 @@
 	}
 	sv := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(da.Log.Handler(), slog.LevelDebug)}
-	da.add(func(part context.Context) error {
-		stop := context.AfterFunc(part, func() { sv.Close() })
+	da.add(func(actorCtx context.Context) error {
+		stop := context.AfterFunc(actorCtx, func() { sv.Close() })
 		defer stop()
 		if err := sv.Serve(ln); err != http.ErrServerClosed {
 			return eris.Wrap(err, "serve "+name)
 		}
-		<-part.Done()
+		<-actorCtx.Done()
 		return nil
 	})
 	return sv, nil
@@ -250,13 +251,13 @@
 }
 
 // addresses returns the daemons' addresses for a caller in dataCenter: only those in that
-// data centre if there are at least minNear, and all otherwise.
+// data centre if there are at least minLocal, and all otherwise.
 func (da *Daemon) addresses(dataCenter string) []string {
-	var near, all []string
+	var local, all []string
 	add := func(addr, at string) {
 		all = append(all, addr)
 		if at == dataCenter {
-			near = append(near, addr)
+			local = append(local, addr)
 		}
 	}
 	if da.accepting() {
@@ -267,8 +268,8 @@
 			add(pe.Callers, pe.DataCenter)
 		}
 	}
-	if len(near) >= minNear {
-		all = near
+	if len(local) >= minLocal {
+		all = local
 	}
 	if len(all) == 0 {
 		// A caller without an address has nothing to connect to. This daemon's address at
@@ -279,9 +280,9 @@
 }
 
 const (
-	// minNear is the minimum number of daemons in a caller's data centre for which only
+	// minLocal is the minimum number of daemons in a caller's data centre for which only
 	// these are listed. maxAddresses bounds the list.
-	minNear      = 2
+	minLocal     = 2
 	maxAddresses = 64
 )
 
@@ -299,12 +300,13 @@
 	return sv.Handler()
 }
 
-// gracefulStop stops the daemon gracefully once ctx ends. The others are notified
+// gracefulStop stops the daemon gracefully once ctx ends. The other daemons are notified
 // immediately that it accepts no more requests. It still serves callers that have its
-// address, and ends when no requests are in flight or the grace period is over.
-func (da *Daemon) gracefulStop(ctx, part context.Context, callers *http.Server) error {
+// address, and returns when no requests are in flight or the grace period is over. If
+// actorCtx ends, it returns immediately.
+func (da *Daemon) gracefulStop(ctx, actorCtx context.Context, callers *http.Server) error {
 	select {
-	case <-part.Done():
+	case <-actorCtx.Done():
 		return nil
 	case <-ctx.Done():
 	}
@@ -313,10 +315,10 @@
 	da.stopping.Store(true)
 	da.front.SetStopping()
 	da.control.post(da.control.leave)
-	if da.Clock.Sleep(part, acceptFor) != nil {
+	if da.Clock.Sleep(actorCtx, acceptFor) != nil {
 		return nil
 	}
-	limit, cancel := context.WithTimeout(part, da.Settings.Bounds.Grace-stopMargin-da.Clock.Now().Sub(begin))
+	limit, cancel := context.WithTimeout(actorCtx, da.Settings.Bounds.Grace-stopMargin-da.Clock.Now().Sub(begin))
 	defer cancel()
 	if err := callers.Shutdown(limit); err != nil {
 		da.Log.Warn("daemon: grace period exceeded, requests aborted.", "working", da.front.InFlight(), "cause", err.Error())
--- a/internal/entry/deputies.go
+++ b/internal/entry/deputies.go
@@ -46,9 +46,9 @@
 	return before < deputiesPerDataCenter
 }
 
-// deputyStaleness returns how long there has been no fresh state from a deputy, counted at
-// most from this daemon's start or last confirmation. Deputies send nothing while a steward
-// does. If it were counted from the last deputy's heartbeat alone, all daemons of a data
+// deputyStaleness returns the time since the latest of three events: the last confirmation
+// of a deputy's state, this daemon's start and its own last confirmation. Deputies send
+// nothing while a steward does. If only the deputies' state counted, all daemons of a data
 // centre would follow the store as soon as the steward is cut off from it.
 func (ct *control) deputyStaleness(now time.Time) time.Duration {
 	ct.mu.Lock()
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -17,8 +17,8 @@
 	newer, elsewhere, idle := fresh, fresh, fresh
 	newer.Config, elsewhere.DataCenter, idle.FollowsStore = 6, "dc-1", false
 	tests := []struct {
-		name  string
-		power int
+		name     string
+		milliCPU int
 		// received is the heartbeat received from a deputy after staleAfter.
 		received *mesh.Heartbeat
 		// atOnce and later are whether the daemon follows the store immediately, and
@@ -34,7 +34,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			ct, cl := newTestControl(tc.power)
+			ct, cl := newTestControl(tc.milliCPU)
 			cl.Advance(startupSettleTime)
 			ct.confirmed = cl.Now()
 			ct.deputyConfirmed = cl.Now()
--- a/internal/entry/ended.go
+++ b/internal/entry/ended.go
@@ -22,7 +22,7 @@
 )
 
 // crashChecks are the checks whether endpoints have crashed, by endpoint ID. All requests
-// of an endpoint break off at once, and one check covers them.
+// of an endpoint are disconnected at once, and one check covers them.
 type crashChecks map[string]*crashCheck
 
 // crashCheck is a check whether an endpoint has crashed while processing requests.
@@ -38,14 +38,15 @@
 // channel is closed once the result is known.
 func (ct *control) checkCrash(bo front.Disconnect) <-chan struct{} {
 	known := make(chan struct{})
-	ct.post(func() { ct.handleBrokenOff(bo, known) })
+	ct.post(func() { ct.handleDisconnect(bo, known) })
 	return known
 }
 
-// handleBrokenOff starts a crash check, or joins the running one, after an endpoint closed
+// handleDisconnect starts a crash check, or joins the running one, after an endpoint closed
 // the connection of a request. Endpoints also truncate or lose answers, or close
-// connections beyond a limit, without crashing; requests are not blamed for that.
-func (ct *control) handleBrokenOff(bo front.Disconnect, known chan struct{}) {
+// connections beyond a limit, without crashing. Such disconnects are not attributed to the
+// request.
+func (ct *control) handleDisconnect(bo front.Disconnect, known chan struct{}) {
 	now := ct.da.Clock.Now()
 	ec := ct.crashChecks[bo.Endpoint]
 	switch {
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -10,10 +10,10 @@
 	"corianderhub.dev/corianderhub/platform"
 )
 
-// snapshot applies a full read of the endpoints. Endpoints that are no longer registered
-// have departed. If the store was unavailable, they count as missing first, since their
-// entries may reappear soon.
-func (ct *control) snapshot(items []platform.Item, revision int64, wasUnavailable bool) {
+// applySnapshot applies a full read of the endpoints. Endpoints that are no longer
+// registered have departed. If the store was unavailable, they count as missing first,
+// since their entries may reappear soon.
+func (ct *control) applySnapshot(items []platform.Item, revision int64, wasUnavailable bool) {
 	now := ct.da.Clock.Now()
 	outage := ct.age(now) > staleAfter
 	seen := make(map[string]bool, len(items))
@@ -74,12 +74,12 @@
 	}
 }
 
-// forgetDropped removes plain endpoints that were read in an earlier generation and that
+// removeDropped removes plain endpoints that were read in an earlier generation and that
 // the steward's newer view no longer contains. They have departed since. Entries absent
 // from the store after an outage count as missing for a while, so without this a daemon
 // that began to follow the store used an endpoint again that had left 2 s before, and sent
 // it requests 4.3 s after its departure.
-func (ct *control) forgetDropped() {
+func (ct *control) removeDropped() {
 	cfg := ct.da.currentConfig()
 	if ct.stewardView == nil || ct.stewardView.Term == 0 || cfg == nil || ct.lease.core != nil {
 		return
@@ -96,8 +96,8 @@
 	}
 }
 
-// changed applies changes of endpoint entries received from a watch.
-func (ct *control) changed(items []platform.Item) {
+// applyChanges applies changes of endpoint entries received from a watch.
+func (ct *control) applyChanges(items []platform.Item) {
 	for _, it := range items {
 		ct.revision = max(ct.revision, it.Revision)
 		ep, ok := catalog.Endpoint{}, false
@@ -114,26 +114,26 @@
 	ct.endpointsChanged()
 }
 
-// maxSetAside bounds the number of keys remembered as logged.
-const maxSetAside = 1000
+// maxLoggedInvalid bounds the number of keys remembered as logged.
+const maxLoggedInvalid = 1000
 
 // decode decodes an entry. An invalid entry is logged once per key until the key is valid
 // again, since its writer may repeat it with each heartbeat.
 func (ct *control) decode(it platform.Item) (catalog.Endpoint, bool) {
 	ep, err := platform.DecodeEndpoint(it)
 	if err == nil {
-		delete(ct.setAside, it.Key)
+		delete(ct.loggedInvalid, it.Key)
 		return ep, true
 	}
-	setAsideCount.Inc()
-	if !ct.setAside[it.Key] && len(ct.setAside) < maxSetAside {
-		ct.setAside[it.Key] = true
+	invalidEntryCount.Inc()
+	if !ct.loggedInvalid[it.Key] && len(ct.loggedInvalid) < maxLoggedInvalid {
+		ct.loggedInvalid[it.Key] = true
 		ct.da.Log.Warn("control: invalid entry ignored.", "key", it.Key, "revision", it.Revision, "cause", err.Error())
 	}
 	return catalog.Endpoint{}, false
 }
 
-var setAsideCount = metrics.NewCounter("corianderhub_entries_set_aside_total")
+var invalidEntryCount = metrics.NewCounter("corianderhub_entries_set_aside_total")
 
 // register adds or updates an endpoint. An entry older than the known one is ignored.
 func (ct *control) register(ep catalog.Endpoint) {
--- a/internal/entry/entries_test.go
+++ b/internal/entry/entries_test.go
@@ -28,7 +28,7 @@
 	for _, ru := range sk.daemons {
 		for i := range 20 {
 			for _, path := range []string{"/confirm/", "/slot/"} {
-				if id := fmt.Sprint(path, ru.ip, i); sk.ask(ru, path, id) != emulator.Body(id) {
+				if id := fmt.Sprint(path, ru.ip, i); sk.send(ru, path, id) != emulator.Body(id) {
 					t.Fatalf("%s at %s: unexpected answer", path, ru.ip)
 				}
 			}
@@ -56,7 +56,7 @@
 		for _, ru := range sk.daemons {
 			for i := range 10 {
 				id := fmt.Sprint("once-", round, ru.ip, i)
-				if got := sk.ask(ru, "/confirm/", id); got != emulator.Body(id) {
+				if got := sk.send(ru, "/confirm/", id); got != emulator.Body(id) {
 					t.Errorf("%s: got body %q", id, got)
 				}
 			}
@@ -74,7 +74,7 @@
 	sk.de.Restart(lost.ID)
 	for _, ru := range sk.daemons {
 		sk.until("the new instance serves", func() bool {
-			if got := sk.ask(ru, "/draft/", "after"+ru.ip); got != completeStream("after"+ru.ip) {
+			if got := sk.send(ru, "/draft/", "after"+ru.ip); got != completeStream("after"+ru.ip) {
 				t.Logf("not served yet: %q", got)
 			}
 			return servesAsNewInstance(ru.da.view.Load(), lost)
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -17,7 +17,7 @@
 	for _, ru := range sk.daemons {
 		for _, path := range []string{"/confirm/", "/slot/"} {
 			id := "id" + path + ru.ip
-			if got := sk.ask(ru, path, id); got != emulator.Body(id) {
+			if got := sk.send(ru, path, id); got != emulator.Body(id) {
 				t.Errorf("%s at %s: got body %q", path, ru.ip, got)
 			}
 		}
@@ -35,8 +35,8 @@
 		before, then func(sk *stack)
 	}{
 		{"sound", func(*stack) {}, func(*stack) {}},
-		{"one daemon is cut off from the store", func(sk *stack) { sk.daemons[1].gate.SetFault(emulator.Unresponsive) }, func(*stack) {}},
-		{"the steward is cut off from the store", func(sk *stack) { sk.steward().gate.SetFault(emulator.Unresponsive) }, func(*stack) {}},
+		{"one daemon is cut off from the store", func(sk *stack) { sk.daemons[1].storeProxy.SetFault(emulator.Unresponsive) }, func(*stack) {}},
+		{"the steward is cut off from the store", func(sk *stack) { sk.steward().storeProxy.SetFault(emulator.Unresponsive) }, func(*stack) {}},
 		{"history is dropped unseen", func(sk *stack) { sk.de.Store.MuteWatches(true) }, func(sk *stack) {
 			sk.de.Store.Compact()
 			sk.de.Store.MuteWatches(false)
@@ -53,8 +53,8 @@
 				if ru.dead.Err() != nil {
 					continue
 				}
-				sk.until("new route and key in force", func() bool { return sk.askWith(ru, "/new/", "id", "another-key") == emulator.Body("id") })
-				if got := sk.ask(ru, "/slot/", "old"); got != "status 401" {
+				sk.until("new route and key in force", func() bool { return sk.sendWithKey(ru, "/new/", "id", "another-key") == emulator.Body("id") })
+				if got := sk.send(ru, "/slot/", "old"); got != "status 401" {
 					t.Errorf("with a revoked key: got %q, want status 401", got)
 				}
 			}
@@ -68,7 +68,7 @@
 	sk.de.Store.Put(platform.ConfigKey, []byte(`{"version":1000,"routes":[{"name":"r","kind":"odd"}]}`))
 	sk.de.Configure([]emulator.Route{{Name: "new", Host: emulator.Host, Prefix: "/new/", Kind: "safe", Timeout: 30000, Attempts: 1, Service: "desk"}})
 	for _, ru := range sk.daemons {
-		sk.until("the next configuration in force", func() bool { return sk.ask(ru, "/new/", "id") == emulator.Body("id") })
+		sk.until("the next configuration in force", func() bool { return sk.send(ru, "/new/", "id") == emulator.Body("id") })
 	}
 }
 
@@ -79,7 +79,7 @@
 		t.Run(how, func(t *testing.T) {
 			sk := newStack(t, 3)
 			if strings.Contains(how, "cut off") {
-				sk.steward().gate.SetFault(emulator.Busy)
+				sk.steward().storeProxy.SetFault(emulator.Busy)
 			}
 			id := "desk-8"
 			if how == "gone" {
@@ -92,7 +92,7 @@
 				sk.until("the endpoint gets no more requests", func() bool {
 					before := len(sv.Runs())
 					for range 10 {
-						sk.ask(ru, "/slot/", "id")
+						sk.send(ru, "/slot/", "id")
 					}
 					return len(sv.Runs()) == before
 				})
@@ -108,7 +108,7 @@
 func TestDepartedEndpointStaysExcluded(t *testing.T) {
 	sk := newStack(t, 3)
 	st := sk.steward()
-	st.gate.SetFault(emulator.Busy)
+	st.storeProxy.SetFault(emulator.Busy)
 	id := "desk-8"
 	sv := sk.de.Server(id)
 	sk.until("the others follow the store themselves", func() bool {
@@ -123,14 +123,14 @@
 	quiet := func(ru *testDaemon) bool {
 		before := len(sv.Runs())
 		for range 10 {
-			sk.ask(ru, "/slot/", "id")
+			sk.send(ru, "/slot/", "id")
 		}
 		return len(sv.Runs()) == before
 	}
 	for _, ru := range sk.daemons {
 		sk.until("the endpoint gets no more requests", func() bool { return quiet(ru) })
 	}
-	st.gate.SetFault(emulator.NoStoreFault)
+	st.storeProxy.SetFault(emulator.NoStoreFault)
 	sk.until("the others rely on the steward again", func() bool {
 		for _, ru := range sk.daemons {
 			if ru != st && ru.da.control.follows() {
@@ -156,11 +156,11 @@
 	ru := sk.daemons[0]
 	answers := make(chan string, 5)
 	for i := range cap(answers) {
-		go func() { answers <- sk.ask(ru, "/draft/", fmt.Sprint("stop-", i)) }()
+		go func() { answers <- sk.send(ru, "/draft/", fmt.Sprint("stop-", i)) }()
 	}
 	sk.until("streams in flight", func() bool { return ru.da.front.InFlight() == int64(cap(answers)) })
 	ru.stop()
-	late := sk.ask(ru, "/slot/", "late")
+	late := sk.send(ru, "/slot/", "late")
 	for range cap(answers) {
 		if got := <-answers; !strings.Contains(got, fmt.Sprintf("id: %d\n", events)) {
 			t.Errorf("a stream was cut off: %q", got)
@@ -186,7 +186,7 @@
 	sk.de.Deregister(lost)
 	for _, ru := range sk.daemons {
 		sk.until("served by complete groups only", func() bool {
-			return !uses(ru, lost) && sk.ask(ru, "/draft/", "after") == completeStream("after")
+			return !uses(ru, lost) && sk.send(ru, "/draft/", "after") == completeStream("after")
 		})
 	}
 	sk.checkInvariants()
@@ -212,7 +212,7 @@
 		t.Fatal("the killed daemon is still steward")
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
+		sk.until("served", func() bool { return sk.send(ru, "/draft/", "after") == completeStream("after") })
 	}
 	sk.until("the lost daemon is listed nowhere", func() bool {
 		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return slices.Contains(sk.addresses(ru), old.ip+":18080") })
@@ -226,13 +226,13 @@
 	for _, fault := range []emulator.StoreFault{emulator.Unresponsive, emulator.Busy} {
 		sk := newStack(t, 3)
 		for _, ru := range sk.daemons {
-			ru.gate.SetFault(fault)
+			ru.storeProxy.SetFault(fault)
 		}
 		sk.kill(sk.daemons[2])
 		late := sk.start(2)
-		late.gate.SetFault(fault)
+		late.storeProxy.SetFault(fault)
 		for _, ru := range sk.daemons {
-			sk.until("served without the store", func() bool { return sk.ask(ru, "/draft/", "away") == completeStream("away") })
+			sk.until("served without the store", func() bool { return sk.send(ru, "/draft/", "away") == completeStream("away") })
 		}
 	}
 }
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -61,7 +61,7 @@
 
 // followEndpoints follows the endpoint entries in the store until ctx ends.
 func (ct *control) followEndpoints(ctx context.Context) {
-	fo := &follower{ct: ct, prefix: platform.EndpointPrefix, snapshot: ct.snapshot, changed: ct.changed}
+	fo := &follower{ct: ct, prefix: platform.EndpointPrefix, snapshot: ct.applySnapshot, changed: ct.applyChanges}
 	fo.run(ctx)
 }
 
@@ -227,7 +227,7 @@
 	}
 	ct.mu.Unlock()
 	if want {
-		ct.forgetDropped()
+		ct.removeDropped()
 	}
 	ct.haveAll = ct.haveAll && want
 	ct.da.Log.Info("control: following the store.", "on", want, "age-ms", age.Milliseconds())
--- a/internal/entry/gone.go
+++ b/internal/entry/gone.go
@@ -45,16 +45,16 @@
 }
 
 // recent returns the departures to announce, and removes those that the steward has known
-// for long enough. known is the time of the steward's state. A daemon that follows the
-// store announces departures for as long as the steward does not know of them, since other
-// daemons may have started meanwhile.
-func (ge departedEndpoints) recent(now, known time.Time, follows bool) []catalog.Instance {
+// for long enough. stewardConfirmed is when the store last confirmed the steward's state. A
+// daemon that follows the store announces departures for as long as the steward does not
+// know of them, since other daemons may have started meanwhile.
+func (ge departedEndpoints) recent(now, stewardConfirmed time.Time, follows bool) []catalog.Instance {
 	var recent []catalog.Instance
 	for li, at := range ge {
 		switch {
-		case now.Sub(at) > forgetDepartureAfter && known.Sub(at) > forgetDepartureAfter:
+		case now.Sub(at) > forgetDepartureAfter && stewardConfirmed.Sub(at) > forgetDepartureAfter:
 			delete(ge, li)
-		case now.Sub(at) < announceDepartureFor, follows && known.Before(at):
+		case now.Sub(at) < announceDepartureFor, follows && stewardConfirmed.Before(at):
 			recent = append(recent, li)
 		}
 	}
--- a/internal/entry/gone_test.go
+++ b/internal/entry/gone_test.go
@@ -39,9 +39,9 @@
 		name string
 		// uptime is how long the daemon has run, age the time since the last confirmation
 		// by the store.
-		uptime, age time.Duration
-		wasAway     bool
-		atOnce      bool
+		uptime, age    time.Duration
+		wasUnavailable bool
+		atOnce         bool
 	}{
 		{"the store answered", time.Minute, staleAfter, false, true},
 		{"the store did not answer before", time.Minute, staleAfter, true, false},
@@ -57,7 +57,7 @@
 			Groups: []catalog.Group{{Name: "group-1", Members: []catalog.Member{{ID: "engine-1"}, {ID: "engine-2"}}}}}
 		entry := `{"service":"desk","address":"127.0.0.1:9","zone":"dc-0","slots":1,"state":"ready","sequence":1}`
 		items := []platform.Item{{Key: platform.EndpointPrefix + "desk-2", Value: []byte(entry), Revision: 3}}
-		ct.snapshot(items, 3, tc.wasAway)
+		ct.applySnapshot(items, 3, tc.wasUnavailable)
 		if !tc.atOnce {
 			if announced := ct.departed.recent(cl.Now(), ct.stewardConfirmedAt(), ct.follows()); len(announced) > 0 {
 				t.Errorf("%s: %v count as departed immediately", tc.name, announced)
@@ -66,7 +66,7 @@
 			ct.stepMissing(cl.Now())
 		}
 		ct.stewardView = &catalog.View{Term: 7, Revision: 9, Plain: []catalog.PlainEndpoint{{ID: "desk-3", Service: "desk"}}}
-		ct.snapshot(items, 4, false)
+		ct.applySnapshot(items, 4, false)
 		for id, want := range map[string]bool{"desk-3": false, "desk-1": true, "desk-2": false, "engine-1": true} {
 			if got := ct.departed.has(catalog.Instance{ID: id}); got != want {
 				t.Errorf("%s: %s counts as departed: got %v, want %v", tc.name, id, got, want)
@@ -78,13 +78,14 @@
 // Guards against requests to a departed server while the store rejects the steward for
 // seconds. Deputies announce the departure, but the steward's view still contains the
 // server; it must be excluded until the steward's state is newer than the departure. A
-// daemon that starts later must get the departure too.
+// request that reaches the server late is cut off when the server ends. A daemon that
+// starts later must get the departure too.
 func TestDepartureOutlastsStewardIsolation(t *testing.T) {
 	ct, cl := newTestControl(192)
 	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
 	ct.da.view.Store(&catalog.View{})
 	ct.stewardView = &catalog.View{Term: 7, Sequence: 1, Plain: []catalog.PlainEndpoint{{ID: "i-1", Service: "desk"}}}
-	cut := cl.Now()
+	isolatedAt := cl.Now()
 	cl.Advance(time.Second)
 	ct.applyDepartures([]catalog.Instance{{ID: "i-1"}}, cl.Now())
 	applySteward := func(confirmed time.Time) {
@@ -94,9 +95,9 @@
 	}
 	for range 10 {
 		cl.Advance(time.Second)
-		applySteward(cut)
+		applySteward(isolatedAt)
 		if len(ct.da.view.Load().Plain) != 0 {
-			t.Fatalf("the server is used again %v after its departure", cl.Now().Sub(cut)-time.Second)
+			t.Fatalf("the server is used again %v after its departure", cl.Now().Sub(isolatedAt)-time.Second)
 		}
 	}
 	if announced := ct.departed.recent(cl.Now(), ct.stewardConfirmedAt(), true); len(announced) != 1 {
@@ -122,7 +123,7 @@
 	ct.stewardView = &catalog.View{Term: 7, Sequence: 1, Revision: 9, Plain: []catalog.PlainEndpoint{{ID: "i-2", Service: "desk"}}}
 	cl.Advance(time.Minute)
 	ct.stepFollowing(cl.Now())
-	ct.snapshot(nil, 10, true)
+	ct.applySnapshot(nil, 10, true)
 	if vi := ct.da.view.Load(); len(vi.Plain) != 1 || vi.Plain[0].ID != "i-2" {
 		t.Errorf("view has %v, want only i-2, whose entry may reappear", vi.Plain)
 	}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -54,11 +54,11 @@
 	return lb.buf.String()
 }
 
-// testDaemon is a daemon with its gate to the store.
+// testDaemon is a daemon with its store proxy.
 type testDaemon struct {
-	da   *Daemon
-	ip   string
-	gate *emulator.StoreProxy
+	da         *Daemon
+	ip         string
+	storeProxy *emulator.StoreProxy
 	// kill ends the daemon immediately, stop ends it gracefully.
 	kill, stop context.CancelFunc
 	dead       context.Context
@@ -92,7 +92,7 @@
 		if len(sk.daemons) > 0 && sk.members(sk.daemons[0]) < sk.de.ModelServers-1 {
 			return false
 		}
-		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return sk.ask(ru, "/draft/", "warm-up") != completeStream("warm-up") })
+		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return sk.send(ru, "/draft/", "warm-up") != completeStream("warm-up") })
 	})
 	return sk
 }
@@ -115,7 +115,7 @@
 // start starts or restarts the daemon with the given number.
 func (sk *stack) start(num int) *testDaemon {
 	sk.t.Helper()
-	gate, store, err := sk.de.OpenStoreProxy()
+	proxy, store, err := sk.de.OpenStoreProxy()
 	if err != nil {
 		sk.t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 	}
 	ctx, stop := context.WithCancel(sk.ctx)
 	dead, kill := context.WithCancel(sk.ctx)
-	ru := &testDaemon{ip: ip, gate: gate, kill: kill, stop: stop, dead: dead, done: make(chan error, 1),
+	ru := &testDaemon{ip: ip, storeProxy: proxy, kill: kill, stop: stop, dead: dead, done: make(chan error, 1),
 		da: &Daemon{base: dead, Settings: set, Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(testWriter{sk.t, sk.log}, nil))}}
 	go func() {
 		err := ru.da.Run(ctx)
@@ -193,14 +193,14 @@
 	return all.String()
 }
 
-// ask sends a request to a daemon and returns the body of a 200 response, or a description
+// send sends a request to a daemon and returns the body of a 200 response, or a description
 // of any other result.
-func (sk *stack) ask(ru *testDaemon, path, id string) string {
-	return sk.askWith(ru, path, id, emulator.Key)
+func (sk *stack) send(ru *testDaemon, path, id string) string {
+	return sk.sendWithKey(ru, path, id, emulator.Key)
 }
 
-// askWith is like ask with the given API key.
-func (sk *stack) askWith(ru *testDaemon, path, id, key string) string {
+// sendWithKey is like send with the given API key.
+func (sk *stack) sendWithKey(ru *testDaemon, path, id, key string) string {
 	req, err := http.NewRequestWithContext(sk.ctx, http.MethodPost, "http://"+ru.ip+":18080"+path+"x", strings.NewReader("question"))
 	if err != nil {
 		sk.t.Fatal(err)
@@ -295,7 +295,7 @@
 // setStoreFault sets the store's fault for all daemons.
 func (sk *stack) setStoreFault(fault emulator.StoreFault) {
 	for _, ru := range sk.daemons {
-		ru.gate.SetFault(fault)
+		ru.storeProxy.SetFault(fault)
 	}
 }
 
@@ -304,7 +304,7 @@
 	sk.t.Helper()
 	sk.until("no group of the lost member is used", func() bool {
 		for _, ru := range sk.daemons {
-			go sk.ask(ru, "/draft/", "stalled")
+			go sk.send(ru, "/draft/", "stalled")
 		}
 		return !uses(ru, lost)
 	})
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -256,12 +256,12 @@
 				return lease
 			}
 			begin = clock.SinceBoot()
-			taken := int64(0)
-			if term, taken, err = ct.reacquireLease(ctx); errors.Is(err, platform.ErrConflict) {
+			newLease := int64(0)
+			if term, newLease, err = ct.reacquireLease(ctx); errors.Is(err, platform.ErrConflict) {
 				return lease
 			}
 			if err == nil {
-				lease = taken
+				lease = newLease
 			}
 		}
 		if err != nil {
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -16,12 +16,12 @@
 	sk := newStack(t, 3)
 	sk.setStoreFault(emulator.Unresponsive)
 	id := sk.de.IDs("desk")[0]
-	desk := sk.de.Server(id)
-	desk.SetBackpressure(emulator.Backpressure{Leaving: true})
+	sv := sk.de.Server(id)
+	sv.SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("one daemon receives the notice", func() bool {
-		before := len(desk.Arrivals())
-		sk.ask(sk.daemons[0], "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
-		return len(desk.Arrivals()) > before
+		before := len(sv.Arrivals())
+		sk.send(sk.daemons[0], "/slot/", fmt.Sprint("notice-", time.Now().UnixNano()))
+		return len(sv.Arrivals()) > before
 	})
 	for _, ru := range sk.daemons {
 		sk.until("all daemons exclude it", func() bool {
@@ -33,13 +33,13 @@
 			return true
 		})
 	}
-	before := len(desk.Arrivals())
+	before := len(sv.Arrivals())
 	for num := range 30 {
-		if got := sk.ask(sk.daemons[num%len(sk.daemons)], "/slot/", "later"); got != emulator.Body("later") {
+		if got := sk.send(sk.daemons[num%len(sk.daemons)], "/slot/", "later"); got != emulator.Body("later") {
 			t.Fatalf("request %d: got %s, although another endpoint accepts it", num, got)
 		}
 	}
-	if num := len(desk.Arrivals()) - before; num > 0 {
+	if num := len(sv.Arrivals()) - before; num > 0 {
 		t.Errorf("%d requests to a leaving endpoint, want none", num)
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	sk.de.Server(head).SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("its group is no longer used", func() bool {
-		sk.ask(ru, "/draft/", fmt.Sprint("told-", time.Now().UnixNano()))
+		sk.send(ru, "/draft/", fmt.Sprint("notice-", time.Now().UnixNano()))
 		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return uses(ru, head) })
 	})
 	sk.until("all VMs but the leaving one serve again", func() bool {
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -30,7 +30,7 @@
 	begin := time.Now()
 	for num := 0; time.Since(begin) < limitPropagation+limitWindow; num++ {
 		ru := sk.daemons[num%len(sk.daemons)]
-		if got := sk.ask(ru, "/slot/", fmt.Sprint("id-", num)); got != emulator.Body(fmt.Sprint("id-", num)) {
+		if got := sk.send(ru, "/slot/", fmt.Sprint("id-", num)); got != emulator.Body(fmt.Sprint("id-", num)) {
 			t.Fatalf("request %d: got %s, although another endpoint accepts it", num, got)
 		}
 		time.Sleep(15 * time.Millisecond)
@@ -54,16 +54,16 @@
 	return sk
 }
 
-// untilAllRestrict lets one daemon receive an endpoint's need, and waits until all daemons
+// untilAllRestrict makes an endpoint announce bp to one daemon, and waits until all daemons
 // apply it, including one that starts afterwards.
-func (sk *stack) untilAllRestrict(id string, need emulator.Backpressure) {
+func (sk *stack) untilAllRestrict(id string, bp emulator.Backpressure) {
 	sk.t.Helper()
-	desk := sk.de.Server(id)
-	desk.SetBackpressure(need)
+	sv := sk.de.Server(id)
+	sv.SetBackpressure(bp)
 	receiver := sk.daemons[len(sk.daemons)-1]
 	sk.until("one daemon receives the notice", func() bool {
-		sk.ask(receiver, "/slot/", fmt.Sprint("told-", time.Now().UnixNano()))
-		return len(desk.Arrivals()) > 0
+		sk.send(receiver, "/slot/", fmt.Sprint("notice-", time.Now().UnixNano()))
+		return len(sv.Arrivals()) > 0
 	})
 	applies := func(ru *testDaemon) bool {
 		// A starting daemon has its register before its first view.
--- a/internal/entry/promise.go
+++ b/internal/entry/promise.go
@@ -105,7 +105,7 @@
 }
 
 // unpromised returns the names of the daemons whose promises have expired. It skips daemons
-// that were unresponsive for longer than network cuts usually last, daemons that are
+// that were unresponsive for longer than network partitions usually last, daemons that are
 // leaving, since they will not become steward, and daemons of which a newer process with
 // the same name runs at another address, since the machine was replaced.
 func (ct *control) unpromised() []string {
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -283,8 +283,8 @@
 	for _, it := range items {
 		var en quarantine.Entry
 		if err := json.Unmarshal(it.Value, &en); err != nil || quarantinePrefix+en.Request.String() != it.Key {
-			if !ct.setAside[it.Key] && len(ct.setAside) < maxSetAside {
-				ct.setAside[it.Key] = true
+			if !ct.loggedInvalid[it.Key] && len(ct.loggedInvalid) < maxLoggedInvalid {
+				ct.loggedInvalid[it.Key] = true
 				ct.da.Log.Warn("control: invalid quarantine entry ignored.", "key", it.Key, "revision", it.Revision)
 			}
 			continue
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -46,14 +46,15 @@
 		ru := sk.daemons[num%len(sk.daemons)]
 		sk.until("a group serves", func() bool {
 			id := fmt.Sprint("sound-", num, "-", time.Now().UnixNano())
-			return sk.ask(ru, "/draft/", id) == completeStream(id)
+			return sk.send(ru, "/draft/", id) == completeStream(id)
 		})
-		sk.ask(ru, crashPath, fmt.Sprint("crash-", num, "-", time.Now().UnixNano()))
+		sk.send(ru, crashPath, fmt.Sprint("crash-", num, "-", time.Now().UnixNano()))
 	}
 }
 
 // Guards against a request that crashes servers again and again, up to three per attempt,
-// when its caller sends it under a new ID each time and to all daemons. Crashes must be
+// when its caller sends it under a new ID each time and to all daemons. All callers were
+// refused for seconds, because the fleet ran out of groups. Crashes must be
 // recorded by content rather than by attempt. In this test servers crash under this request
 // only, so the number of crashes shows whether the content was recognized.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
@@ -108,7 +109,7 @@
 	sk.crashOnRequest()
 	sk.setStoreFault(emulator.Unresponsive)
 	sk.until("quarantined by the daemon that gets the request", func() bool {
-		sk.ask(sk.daemons[0], crashPath, fmt.Sprint("crash-", time.Now().UnixNano()))
+		sk.send(sk.daemons[0], crashPath, fmt.Sprint("crash-", time.Now().UnixNano()))
 		return sk.daemons[0].da.quarantine.Digest(time.Now()) != 0
 	})
 	for _, ru := range sk.daemons[1:] {
@@ -138,7 +139,7 @@
 		for _, at := range []struct{ addr, content string }{{open, "sound"}, {closed, "crash"}} {
 			known := make(chan struct{})
 			fp := quarantine.Fingerprint([]byte((at.content + strings.Repeat(" ", 16))[:16]))
-			ct.handleBrokenOff(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
+			ct.handleDisconnect(front.Disconnect{Request: fp, Endpoint: fmt.Sprint(at.content, i), Address: at.addr}, known)
 			(<-ct.events)()
 			<-known
 			_, held := ct.da.quarantine.Quarantined(fp, time.Now())
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -79,8 +79,8 @@
 type healthyGroups map[mesh.GroupRef]time.Time
 
 // announceHealthyFor is how long a group is announced as healthy, since a heartbeat or two
-// may be lost. It is less than checkAgain in package dispatch, so that an old announcement
-// does not clear a new stall report.
+// may be lost. It is less than recheckInterval in package dispatch, so that an old
+// announcement does not clear a new stall report.
 const announceHealthyFor = 350 * time.Millisecond
 
 // add announces a group as healthy for announceHealthyFor.
--- a/internal/entry/steward_test.go
+++ b/internal/entry/steward_test.go
@@ -22,7 +22,7 @@
 	if got := len(next.da.view.Load().Groups); got != before {
 		t.Errorf("%d groups after the change of steward, %d before", got, before)
 	}
-	if got := sk.ask(next, "/draft/", "after"); got != completeStream("after") {
+	if got := sk.send(next, "/draft/", "after"); got != completeStream("after") {
 		t.Errorf("after the change of steward: got %q", got)
 	}
 	sk.checkInvariants()
@@ -40,7 +40,7 @@
 		sk.start(num)
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
+		sk.until("served again", func() bool { return sk.send(ru, "/draft/", "after") == completeStream("after") })
 	}
 	if loads := len(sk.de.Fleet.Loads()); loads != 0 {
 		t.Errorf("%d loads from the weight store, want none", loads)
@@ -79,8 +79,8 @@
 		t.Error("the steward changed while the store was unavailable")
 	}
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
-		ru.gate.SetFault(emulator.NoStoreFault)
+		sk.until("served again", func() bool { return sk.send(ru, "/draft/", "after") == completeStream("after") })
+		ru.storeProxy.SetFault(emulator.NoStoreFault)
 	}
 	sk.until("the lease is held again", func() bool {
 		_, ok := sk.de.Store.Value(stewardKey)
@@ -94,7 +94,7 @@
 func TestUnreachableStewardStops(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
-	old.gate.SetFault(emulator.Unresponsive)
+	old.storeProxy.SetFault(emulator.Unresponsive)
 	old.da.mesh.Conn.Close()
 	sk.until("another steward", func() bool { return sk.steward() != old })
 	is := make(chan bool, 1)
@@ -118,7 +118,7 @@
 	lost := sk.loseMember(st)
 	sk.untilUnused(st, lost)
 	for _, ru := range sk.daemons {
-		sk.until("served again", func() bool { return sk.ask(ru, "/draft/", "after") == completeStream("after") })
+		sk.until("served again", func() bool { return sk.send(ru, "/draft/", "after") == completeStream("after") })
 	}
 	sk.setStoreFault(emulator.NoStoreFault)
 	sk.until("another steward", func() bool { return sk.steward() != st })
--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -29,7 +29,7 @@
 				last := log[strings.LastIndex(log, "view published"):]
 				return sk.members(sk.daemons[0]) == 0 && strings.Contains(last, " serving=0 ")
 			})
-			if got := sk.ask(sk.daemons[0], "/draft/", id); got != "status 503" {
+			if got := sk.send(sk.daemons[0], "/draft/", id); got != "status 503" {
 				sk.t.Fatalf("got answer %q", got)
 			}
 			return []string{"end: refused, no-group", "steward counted 0 groups that served"}
@@ -43,21 +43,21 @@
 					return emulator.None
 				})
 			}
-			if got := sk.ask(sk.daemons[0], "/draft/", id); got == completeStream(id) {
+			if got := sk.send(sk.daemons[0], "/draft/", id); got == completeStream(id) {
 				sk.t.Fatal("the stream is complete despite the fault")
 			}
 			return []string{"end: broken", "an attempt failed: "}
 		}},
 		{"an answer lost of a request that must not repeat", func(sk *stack, id string) []string {
-			for _, desk := range sk.de.IDs("desk") {
-				sk.de.Server(desk).SetFault(func(req *http.Request) emulator.Fault {
+			for _, endpoint := range sk.de.IDs("desk") {
+				sk.de.Server(endpoint).SetFault(func(req *http.Request) emulator.Fault {
 					if req.Header.Get(platform.HeaderRequestID) == id {
 						return emulator.DropsResponse
 					}
 					return emulator.None
 				})
 			}
-			if got := sk.ask(sk.daemons[0], "/confirm/", id); got != "status 502" {
+			if got := sk.send(sk.daemons[0], "/confirm/", id); got != "status 502" {
 				sk.t.Fatalf("got answer %q", got)
 			}
 			return []string{"end: refused, answer-lost", "an attempt failed: may-have-run"}
--- a/internal/entry/totals.go
+++ b/internal/entry/totals.go
@@ -12,7 +12,8 @@
 // readers of the log without access to the metrics.
 const totalsInterval = 10 * time.Second
 
-// logTotals logs the process's nonzero counters.
+// logTotals logs the process's nonzero counters. The cost of one line
+// per totalsInterval is negligible compared with that of the process's requests.
 func (ct *control) logTotals(now time.Time) {
 	if now.Before(ct.nextTotals) {
 		return
