--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -50,7 +50,7 @@
 	return claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: holder, Fingerprint: fingerprint}
 }
 
-func newBook(st *standin.Store) *Registry {
+func newRegistry(st *standin.Store) *Registry {
 	return &Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 }
 
@@ -84,8 +84,8 @@
 func randomClaims(steps []int) error {
 	st := standin.NewStore(clock.System{})
 	ru := &dispatchCounter{keys: make(map[string]int)}
-	books := []*Registry{newBook(st), newBook(st)}
-	all := slices.Clone(books)
+	registries := []*Registry{newRegistry(st), newRegistry(st)}
+	all := slices.Clone(registries)
 	var wg sync.WaitGroup
 	for i, step := range steps {
 		switch step % 12 {
@@ -99,10 +99,10 @@
 			st.SetFaults(standin.StoreFaults{})
 		case 4:
 			// The daemon is replaced and loses its cache.
-			books[step/12%2] = newBook(st)
-			all = append(all, books[step/12%2])
+			registries[step/12%2] = newRegistry(st)
+			all = append(all, registries[step/12%2])
 		default:
-			bo := books[step%2]
+			bo := registries[step%2]
 			wg.Go(func() { attempt(bo, ru, fmt.Sprint("key", step/12%3), fmt.Sprint("holder", i), step/36%5) })
 		}
 		time.Sleep(time.Duration(step%150) * time.Millisecond)
@@ -163,7 +163,7 @@
 		granted := &dispatchCounter{keys: make(map[string]int)}
 		var wg sync.WaitGroup
 		for i := range 8 {
-			bo := newBook(st)
+			bo := newRegistry(st)
 			for j := range 5 {
 				wg.Go(func() {
 					key := fmt.Sprint("key", j)
@@ -187,7 +187,7 @@
 func TestSealedSlice(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
-		first, second := newBook(st), newBook(st)
+		first, second := newRegistry(st), newRegistry(st)
 		ctx := context.Background()
 		op := acquire("early", "a", "p")
 		if got := second.Do(ctx, op).Answer; got != claim.Granted {
@@ -198,7 +198,7 @@
 		}
 		again := op
 		again.Holder = "b"
-		for name, bo := range map[string]*Registry{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
+		for name, bo := range map[string]*Registry{"the filling daemon": first, "the other daemon": second, "a new daemon": newRegistry(st)} {
 			if got := bo.Do(ctx, again).Answer; got != claim.Duplicate {
 				t.Errorf("%s: acquire = %v, want duplicate", name, got)
 			}
@@ -250,7 +250,7 @@
 func TestLargeBatch(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
-		bo := newBook(st)
+		bo := newRegistry(st)
 		body := make([]byte, claim.MaxOutcomeBytes)
 		var wg sync.WaitGroup
 		for i := range 1000 {
@@ -280,7 +280,7 @@
 func TestWriteRateBounded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		st := standin.NewStore(clock.System{})
-		bo := newBook(st)
+		bo := newRegistry(st)
 		var wg sync.WaitGroup
 		for i := range 400 {
 			op := acquire("one", "h", "p")
@@ -300,7 +300,7 @@
 // writes the slice itself.
 func TestOwnerUnreachable(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		bo := newBook(standin.NewStore(clock.System{}))
+		bo := newRegistry(standin.NewStore(clock.System{}))
 		bo.Owner = func(int) string { return "frozen" }
 		bo.Forward = func(context.Context, string, claim.Op) (claim.Result, error) {
 			return claim.Result{}, errors.New("timeout")
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -215,18 +215,18 @@
 			rest = append(rest, wa)
 		}
 	}
-	for num, wais := range bySlice {
-		rest = append(rest, sh.completeSealed(ctx, num, wais)...)
+	for num, pending := range bySlice {
+		rest = append(rest, sh.completeSealed(ctx, num, pending)...)
 	}
 	return rest, nil
 }
 
 // completeSealed executes operations on one sealed slice. It returns the acquires
 // whose key was released there, which may be claimed again in the open slice.
-func (sh *shard) completeSealed(ctx context.Context, num int, wais []*pendingOp) []*pendingOp {
-	results, err := sh.applySealed(ctx, num, operations(wais))
+func (sh *shard) completeSealed(ctx context.Context, num int, pending []*pendingOp) []*pendingOp {
+	results, err := sh.applySealed(ctx, num, operations(pending))
 	var rest []*pendingOp
-	for i, wa := range wais {
+	for i, wa := range pending {
 		switch {
 		case err != nil:
 			wa.complete(claim.Result{Answer: claim.Unavailable})
@@ -239,9 +239,9 @@
 	return rest
 }
 
-func operations(wais []*pendingOp) []claim.Op {
-	batchOps := make([]claim.Op, len(wais))
-	for i, wa := range wais {
+func operations(pending []*pendingOp) []claim.Op {
+	batchOps := make([]claim.Op, len(pending))
+	for i, wa := range pending {
 		batchOps[i] = wa.op
 	}
 	return batchOps
