--- a/cmd/bench/route.go
+++ b/cmd/bench/route.go
@@ -16,7 +16,7 @@
 		ro := route.New(route.TokenAffinity{})
 		var tas []route.Target
 		for i := range num {
-			tas = append(tas, route.Target{ID: fmt.Sprint("g", i), Capacity: 400000, Near: true, Reported: int64(i), ReportedAt: time.Unix(1, 0)})
+			tas = append(tas, route.Target{ID: fmt.Sprint("g", i), Capacity: 400000, Local: true, Reported: int64(i), ReportedAt: time.Unix(1, 0)})
 		}
 		ro.Update(tas)
 		rq := route.Request{Prefixes: route.Prefixes(nil, "m", strings.Repeat("p", 4096)), PromptTokens: 1024}
--- a/cmd/corianderhub/explain.go
+++ b/cmd/corianderhub/explain.go
@@ -55,9 +55,9 @@
 		if err != nil {
 			return &exitError{exitUsage, "--at: " + err.Error()}
 		}
-		return story.Print(to, story.Believed(lines, at), "")
+		return story.Print(to, story.StateAt(lines, at), "")
 	}
-	found := story.OfRequest(lines, ec.Args.RequestID)
+	found := story.RequestLines(lines, ec.Args.RequestID)
 	if len(found) == 0 {
 		return &exitError{exitFailed, "no line about request " + ec.Args.RequestID}
 	}
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -55,8 +55,8 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return failed, err
 		}
-		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, Models: op.Models,
-			Desks: op.Desks, Clients: op.Clients, Time: op.Time, Every: op.Every, Subnet: op.Subnet}
+		so := &soak.Soak{Log: slog.Default(), Binary: op.Binary, Dir: dir, Seed: seed, Daemons: op.Daemons, ModelServers: op.Models,
+			PlainServers: op.Desks, Clients: op.Clients, Duration: op.Time, FaultInterval: op.Every, Subnet: op.Subnet}
 		violations, err := so.Run(ctx)
 		if err != nil {
 			return failed, err
--- a/internal/caller/pools.go
+++ b/internal/caller/pools.go
@@ -46,7 +46,7 @@
 			ReportedAt: ta.Permit.At,
 			Requests:   ta.Permit.Load.Requests,
 			Capacity:   mo.CapacityTokens,
-			Near:       ta.Local,
+			Local:      ta.Local,
 		})
 	}
 	for name := range vi.Config.Models {
--- a/internal/core/control/config_test.go
+++ b/internal/core/control/config_test.go
@@ -62,7 +62,7 @@
 		// lost. The apply recognizes its own operation and does not write it
 		// again.
 		{"lost-answer", func(t *testing.T, w *simulation) {
-			w.setFaults(standin.StoreFaults{LoseAnswers: 2})
+			w.setFaults(standin.StoreFaults{DropResponses: 2})
 			before, _ := w.daemons["d1"].core.Config()
 			revision, err := w.apply(w.daemons["d1"], "one", workspace("one", 1))
 			if err != nil {
--- a/internal/core/control/hold_test.go
+++ b/internal/core/control/hold_test.go
@@ -347,7 +347,7 @@
 		// Writes of assignments take effect but their answers are lost.
 		{"lost-answer", func(t *testing.T, w *simulation) {
 			en, _ := w.servingMember("d1")
-			w.setFaults(standin.StoreFaults{LoseAnswers: 3})
+			w.setFaults(standin.StoreFaults{DropResponses: 3})
 			en.down = true
 			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
@@ -383,7 +383,7 @@
 			en, _ := w.servingMember("d1")
 			en.down = true
 			w.advance(fleet.LossGrace)
-			w.setFaults(standin.StoreFaults{LoseAnswers: 1})
+			w.setFaults(standin.StoreFaults{DropResponses: 1})
 			w.advance(300 * time.Millisecond)
 			st := w.steward("gent")
 			st.kill()
--- a/internal/core/control/random_test.go
+++ b/internal/core/control/random_test.go
@@ -72,7 +72,7 @@
 		name := no.name
 		w.partitioned = func(a, b string) bool { return a == name || b == name }
 	case 8:
-		w.setFaults(standin.StoreFaults{Down: !w.faults.Down, LoseAnswers: 2})
+		w.setFaults(standin.StoreFaults{Down: !w.faults.Down, DropResponses: 2})
 	case 9:
 		if no.core == nil || no.suspended {
 			return
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -24,7 +24,7 @@
 	// Capacity is the number of tokens that the group can hold.
 	Capacity int64
 	// Near groups are preferred: others are selected only if no target is near.
-	Near bool
+	Local bool
 }
 
 // Group is a target together with this daemon's own counters. The counters are safe for concurrent
@@ -163,11 +163,11 @@
 func (ro *Router) Update(targets []Target) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
-	near := slices.ContainsFunc(targets, func(ta Target) bool { return ta.Near })
+	near := slices.ContainsFunc(targets, func(ta Target) bool { return ta.Local })
 	var groups []*Group
 	for _, ta := range targets {
 		gr := ro.group(ta)
-		if ta.Near || !near {
+		if ta.Local || !near {
 			groups = append(groups, gr)
 		}
 	}
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -10,7 +10,7 @@
 func targets(num int) []Target {
 	var tas []Target
 	for i := range num {
-		tas = append(tas, Target{ID: fmt.Sprint("g", i), Capacity: 400000, Near: true, Reported: int64(i * 100), ReportedAt: time.Unix(1, 0)})
+		tas = append(tas, Target{ID: fmt.Sprint("g", i), Capacity: 400000, Local: true, Reported: int64(i * 100), ReportedAt: time.Unix(1, 0)})
 	}
 	return tas
 }
@@ -34,7 +34,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			ro := New(tc.policy)
-			ro.Update([]Target{{ID: "g0", Near: true}, {ID: "g1", Near: true}, {ID: "g2", Near: true}})
+			ro.Update([]Target{{ID: "g0", Local: true}, {ID: "g1", Local: true}, {ID: "g2", Local: true}})
 			rq := Request{}
 			for _, gr := range ro.Groups() {
 				if num := tc.load[gr.ID]; num > 0 {
@@ -59,7 +59,7 @@
 // has more pending work than the cache saves.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	ro := New(TokenAffinity{})
-	ro.Update([]Target{{ID: "g0", Near: true, Capacity: 1e6}, {ID: "g1", Near: true, Capacity: 1e6}})
+	ro.Update([]Target{{ID: "g0", Local: true, Capacity: 1e6}, {ID: "g1", Local: true, Capacity: 1e6}})
 	rq := Request{Prefixes: Prefixes(nil, "m", strings.Repeat("p", 4096)), PromptTokens: 1024}
 	g0 := ro.Groups()[0]
 	ro.Remember(rq, g0)
@@ -83,7 +83,7 @@
 func TestLoadIncludesUnreportedTokens(t *testing.T) {
 	ro := New(TokenAffinity{})
 	at := func(sec int64, tokens int64) []Target {
-		return []Target{{ID: "g", Near: true, Reported: tokens, ReportedAt: time.Unix(sec, 0)}}
+		return []Target{{ID: "g", Local: true, Reported: tokens, ReportedAt: time.Unix(sec, 0)}}
 	}
 	ro.Update(at(1, 0))
 	gr := ro.Groups()[0]
@@ -129,7 +129,7 @@
 
 func TestFarGroupsOnlyWithoutNearGroups(t *testing.T) {
 	ro := New(TokenAffinity{})
-	ro.Update([]Target{{ID: "near", Near: true}, {ID: "far"}})
+	ro.Update([]Target{{ID: "near", Local: true}, {ID: "far"}})
 	for range 20 {
 		if gr := ro.Pick(Request{}); gr.ID != "near" {
 			t.Fatalf("pick = %s, want near", gr.ID)
--- a/internal/daemon/answer_test.go
+++ b/internal/daemon/answer_test.go
@@ -39,8 +39,8 @@
 	// An engine breaks the stream off after some tokens. The caller sees one
 	// answer without a token lost or doubled: another group goes on from there.
 	t.Run("cut", func(t *testing.T) {
-		sk.leaders()[0].engine.SetFaults(standin.EngineFaults{CutAfter: 7})
-		sk.leaders()[1].engine.SetFaults(standin.EngineFaults{CutAfter: 5})
+		sk.leaders()[0].engine.SetFaults(standin.EngineFaults{DisconnectAfter: 7})
+		sk.leaders()[1].engine.SetFaults(standin.EngineFaults{DisconnectAfter: 5})
 		defer faultAll(standin.EngineFaults{})
 		check(t)
 	})
@@ -54,7 +54,7 @@
 	// connection does that was reused while an old answer was on its way.
 	t.Run("late-answer", func(t *testing.T) {
 		for _, eh := range sk.leaders()[:1] {
-			eh.engine.SetFaults(standin.EngineFaults{Foreign: true})
+			eh.engine.SetFaults(standin.EngineFaults{MismatchedResponse: true})
 		}
 		defer faultAll(standin.EngineFaults{})
 		for range 4 {
@@ -65,7 +65,7 @@
 	// cut: nobody gets a word of another's answer.
 	t.Run("many", func(t *testing.T) {
 		for _, eh := range sk.leaders() {
-			eh.engine.SetFaults(standin.EngineFaults{CutAfter: 3})
+			eh.engine.SetFaults(standin.EngineFaults{DisconnectAfter: 3})
 		}
 		var wg sync.WaitGroup
 		for i := range 40 {
@@ -80,7 +80,7 @@
 		_ = sk.client(0).Stream(ctx, ch, func(string) { cancel() })
 		sk.until("the engines stopped", func() bool {
 			for _, eh := range sk.engines {
-				if eh.engine.Busy() > 0 {
+				if eh.engine.InFlight() > 0 {
 					return false
 				}
 			}
--- a/internal/daemon/once_test.go
+++ b/internal/daemon/once_test.go
@@ -52,7 +52,7 @@
 	// The service runs the booking and its answer is lost. The caller is told
 	// that it may have run, and trying again does not run it again.
 	t.Run("lost-answer", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+		sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		for i := range 4 {
 			if _, ve, err := sk.book(i%2, "lost"); err != nil || ve != verdict.MayHaveRun {
 				t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
@@ -63,7 +63,7 @@
 	// The service takes the booking and never answers: a connection that is
 	// silent for good.
 	t.Run("silent-connection", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{Silent: true})
+		sk.service.SetFaults(standin.ServiceFaults{Unresponsive: true})
 		if _, ve, err := sk.book(0, "silent"); err != nil || ve != verdict.MayHaveRun {
 			t.Errorf("verdict = %q, %v; want %q", ve, err, verdict.MayHaveRun)
 		}
@@ -75,7 +75,7 @@
 	})
 	// The answer to the claim's write is lost: it is read back and found.
 	t.Run("lost-claim", func(t *testing.T) {
-		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseAnswers: 1}})
+		sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{DropResponses: 1}})
 		if status, _, err := sk.book(0, "claim"); err != nil || status != http.StatusOK {
 			t.Errorf("status = %d, %v; want %d", status, err, http.StatusOK)
 		}
@@ -113,7 +113,7 @@
 	// the endpoint has another address.
 	t.Run("without-key", func(t *testing.T) {
 		before := sk.runs("")
-		sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+		sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		rsp, raw, err := sk.post(0, confirm, `{}`, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -126,7 +126,7 @@
 	// A daemon is killed with the booking under way; the caller's client goes
 	// to the other one. The booking ran or it may have; it never runs twice.
 	t.Run("kill", func(t *testing.T) {
-		sk.service.SetFaults(standin.ServiceFaults{Slow: 300 * time.Millisecond})
+		sk.service.SetFaults(standin.ServiceFaults{Delay: 300 * time.Millisecond})
 		defer sk.service.SetFaults(standin.ServiceFaults{})
 		ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 		defer cancel()
@@ -170,13 +170,13 @@
 		// The claim is lost on its way, again and again.
 		{"lost-answer",
 			func() {
-				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{LoseWrites: 1000}})
+				sk.platform.SetFaults(standin.PlatformFaults{StoreFaults: standin.StoreFaults{DropWrites: 1000}})
 			},
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
 		// The platform answers so late that the claim is given up, and stores
 		// it all the same.
 		{"slow",
-			func() { sk.platform.SetFaults(standin.PlatformFaults{Slow: 3 * time.Second}) },
+			func() { sk.platform.SetFaults(standin.PlatformFaults{Delay: 3 * time.Second}) },
 			func() { sk.platform.SetFaults(standin.PlatformFaults{}) }},
 	}
 	for _, tc := range tests {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -237,7 +237,7 @@
 			time.Sleep(700 * time.Millisecond)
 			pr.cmd.Process.Signal(syscall.SIGCONT)
 		case 2:
-			sk.service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
+			sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
 		}
 	}
 }
--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -76,7 +76,7 @@
 				}
 				story.Sort(lines)
 				output.Reset()
-				if err := story.Print(&output, story.OfRequest(lines, id), id); err != nil {
+				if err := story.Print(&output, story.RequestLines(lines, id), id); err != nil {
 					t.Fatal(err)
 				}
 				for _, text := range want {
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -90,11 +90,11 @@
 	for i, step := range steps {
 		switch step % 12 {
 		case 0:
-			st.SetFaults(standin.StoreFaults{LoseAnswers: 1 + step/12%3})
+			st.SetFaults(standin.StoreFaults{DropResponses: 1 + step/12%3})
 		case 1:
 			st.SetFaults(standin.StoreFaults{Down: true})
 		case 2:
-			st.SetFaults(standin.StoreFaults{LoseWrites: 1})
+			st.SetFaults(standin.StoreFaults{DropWrites: 1})
 		case 3:
 			st.SetFaults(standin.StoreFaults{})
 		case 4:
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -32,7 +32,7 @@
 	rnd := rand.New(rand.NewPCG(so.Seed, 3))
 	for busy.Err() == nil {
 		at := rnd.IntN(5)
-		dur := time.Duration(rnd.Int64N(int64(6 * so.Every)))
+		dur := time.Duration(rnd.Int64N(int64(6 * so.FaultInterval)))
 		own := rand.New(rand.NewPCG(rnd.Uint64(), 4))
 		for _, ne := range needs {
 			if at -= ne.weight; at < 0 {
@@ -40,7 +40,7 @@
 				break
 			}
 		}
-		so.pause(busy, time.Duration(rnd.ExpFloat64()*2*float64(so.Every)))
+		so.pause(busy, time.Duration(rnd.ExpFloat64()*2*float64(so.FaultInterval)))
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -28,12 +28,12 @@
 	Binary, Dir string
 	Seed        uint64
 	// Daemons, Models, Desks and Clients are numbers of each.
-	Daemons, Models, Desks, Clients int
+	Daemons, ModelServers, PlainServers, Clients int
 	// Time is how long faults come.
-	Time time.Duration
+	Duration time.Duration
 	// Every is the mean time between two faults; each lasts for up to six times
 	// as long, so that they overlap.
-	Every time.Duration
+	FaultInterval time.Duration
 	// Subnet gives the daemons the addresses 127.0.Subnet.1 and up.
 	Subnet int
 
@@ -89,7 +89,7 @@
 
 // start starts the emulated platform and the daemons.
 func (so *Soak) start() error {
-	so.deployment = &emulator.Deployment{ModelServers: so.Models, PlainServers: so.Desks, EventInterval: eventEvery, Proxy: so.proxyServer}
+	so.deployment = &emulator.Deployment{ModelServers: so.ModelServers, PlainServers: so.PlainServers, EventInterval: eventEvery, Proxy: so.proxyServer}
 	if err := so.deployment.Start(so.ctx); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 
 // disturb lets clients work while faults come, and waits for the end of both.
 func (so *Soak) disturb() {
-	busy, stop := context.WithTimeout(so.ctx, so.Time)
+	busy, stop := context.WithTimeout(so.ctx, so.Duration)
 	defer stop()
 	var clients, running sync.WaitGroup
 	for num := range so.Clients {
@@ -147,10 +147,10 @@
 	clients.Go(func() { so.playNeeds(busy, &running) })
 	rnd := rand.New(rand.NewPCG(so.Seed, 1))
 	for busy.Err() == nil {
-		fa, dur := draw(rnd), time.Duration(rnd.Int64N(int64(6*so.Every)))
+		fa, dur := draw(rnd), time.Duration(rnd.Int64N(int64(6*so.FaultInterval)))
 		own := rand.New(rand.NewPCG(rnd.Uint64(), 2))
 		running.Go(func() { so.runFault(fa, own, dur) })
-		so.pause(busy, time.Duration(rnd.ExpFloat64()*float64(so.Every)))
+		so.pause(busy, time.Duration(rnd.ExpFloat64()*float64(so.FaultInterval)))
 	}
 	clients.Wait()
 	running.Wait()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -32,8 +32,8 @@
 		seeds = append(seeds, re.seed)
 	}
 	for _, seed := range seeds {
-		so := &Soak{Log: slog.New(slog.DiscardHandler), Binary: binary, Dir: t.TempDir(), Seed: seed, Daemons: 4, Models: 9, Desks: 3,
-			Clients: 16, Time: 6 * time.Second, Every: 700 * time.Millisecond, Subnet: 119}
+		so := &Soak{Log: slog.New(slog.DiscardHandler), Binary: binary, Dir: t.TempDir(), Seed: seed, Daemons: 4, ModelServers: 9, PlainServers: 3,
+			Clients: 16, Duration: 6 * time.Second, FaultInterval: 700 * time.Millisecond, Subnet: 119}
 		violations, err := so.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,17 +20,17 @@
 // EngineFaults are the faults an Engine can be told to show.
 type EngineFaults struct {
 	// Silent accepts connections and never answers.
-	Silent bool `json:"silent"`
+	Unresponsive bool `json:"silent"`
 	// Leaving reports that the VM will stop soon.
 	Leaving bool `json:"leaving"`
 	// Straggle slows every token by this much.
-	Straggle time.Duration `json:"straggle"`
+	TokenDelay time.Duration `json:"straggle"`
 	// CutAfter cuts streams after that many tokens, once.
-	CutAfter int `json:"cut-after"`
+	DisconnectAfter int `json:"cut-after"`
 	// Truncate ends the next stream cleanly but without its terminator.
 	Truncate bool `json:"truncate"`
 	// Foreign answers the next request with another request's ID.
-	Foreign bool `json:"foreign"`
+	MismatchedResponse bool `json:"foreign"`
 }
 
 // Engine is the stand-in for the engine on one VM. Set the exported fields
@@ -168,7 +168,7 @@
 func (en *Engine) silenced(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		en.mu.Lock()
-		silent := en.faults.Silent
+		silent := en.faults.Unresponsive
 		en.mu.Unlock()
 		if silent {
 			<-req.Context().Done()
@@ -329,9 +329,9 @@
 	en.work(1)
 	defer en.work(-1)
 	requestID := req.Header.Get(endpoint.HeaderRequestID)
-	if ef.Foreign {
+	if ef.MismatchedResponse {
 		requestID = "another-request"
-		ef.Foreign = false
+		ef.MismatchedResponse = false
 		en.SetFaults(ef)
 	}
 	w.Header().Set(endpoint.HeaderRequestID, requestID)
@@ -390,9 +390,9 @@
 	flusher, _ := w.(http.Flusher)
 	time.Sleep(en.PrefillTime * time.Duration(len(prompt)/4) / 1000)
 	for i := given; i < total; i++ {
-		time.Sleep(en.TokenTime + ef.Straggle)
-		if ef.CutAfter > 0 && i-given == ef.CutAfter {
-			ef.CutAfter = 0
+		time.Sleep(en.TokenTime + ef.TokenDelay)
+		if ef.DisconnectAfter > 0 && i-given == ef.DisconnectAfter {
+			ef.DisconnectAfter = 0
 			en.SetFaults(ef)
 			panic(http.ErrAbortHandler)
 		}
@@ -440,14 +440,14 @@
 }
 
 // Served returns how many completions ended whole.
-func (en *Engine) Served() int {
+func (en *Engine) Completed() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.served
 }
 
 // Busy returns how many completions run now.
-func (en *Engine) Busy() int {
+func (en *Engine) InFlight() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.busy
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -21,7 +21,7 @@
 type PlatformFaults struct {
 	StoreFaults
 	// Slow delays every call.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// StaleList freezes the list of VMs.
 	StaleList bool `json:"stale-list"`
 }
@@ -102,7 +102,7 @@
 		pl.mu.Lock()
 		pf := pl.faults
 		pl.mu.Unlock()
-		time.Sleep(pf.Slow)
+		time.Sleep(pf.Delay)
 		if pf.Down {
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -16,11 +16,11 @@
 	// Refuse answers that calls were not run.
 	Refuse bool `json:"refuse"`
 	// LoseAnswers runs that many calls and cuts the connection.
-	LoseAnswers int `json:"lose-answers"`
+	DropResponses int `json:"lose-answers"`
 	// Slow delays every answer.
-	Slow time.Duration `json:"slow"`
+	Delay time.Duration `json:"slow"`
 	// Silent runs calls and never answers.
-	Silent bool `json:"silent"`
+	Unresponsive bool `json:"silent"`
 }
 
 // Service is the stand-in for a plain service. It counts how often each
@@ -82,15 +82,15 @@
 	key := req.Header.Get("Idempotency-Key")
 	se.runs[key]++
 	num := se.runs[key]
-	if se.faults.LoseAnswers > 0 {
-		se.faults.LoseAnswers--
+	if se.faults.DropResponses > 0 {
+		se.faults.DropResponses--
 	}
 	se.mu.Unlock()
-	time.Sleep(sf.Slow)
-	if sf.Silent {
+	time.Sleep(sf.Delay)
+	if sf.Unresponsive {
 		<-req.Context().Done()
 	}
-	if sf.LoseAnswers > 0 || sf.Silent {
+	if sf.DropResponses > 0 || sf.Unresponsive {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(endpoint.HeaderRequestID, req.Header.Get(endpoint.HeaderRequestID))
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -19,9 +19,9 @@
 	// Down refuses every call.
 	Down bool `json:"down"`
 	// LoseAnswers is how many writes take effect without an answer.
-	LoseAnswers int `json:"lose-answers"`
+	DropResponses int `json:"lose-answers"`
 	// LoseWrites is how many writes fail without effect or answer.
-	LoseWrites int `json:"lose-writes"`
+	DropWrites int `json:"lose-writes"`
 }
 
 type storedValue struct {
@@ -110,10 +110,10 @@
 
 // lost tells whether the answer to a write that took effect is lost.
 func (st *Store) lost() error {
-	if st.faults.LoseAnswers == 0 {
+	if st.faults.DropResponses == 0 {
 		return nil
 	}
-	st.faults.LoseAnswers--
+	st.faults.DropResponses--
 	return platform.ErrUnknown
 }
 
@@ -159,8 +159,8 @@
 	if len(value) > platform.MaxValueBytes {
 		return 0, eris.Errorf("%s: %d bytes are too large", key, len(value))
 	}
-	if st.faults.LoseWrites > 0 {
-		st.faults.LoseWrites--
+	if st.faults.DropWrites > 0 {
+		st.faults.DropWrites--
 		return 0, platform.ErrUnknown
 	}
 	_, leased := st.leases[leaseID]
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -19,7 +19,7 @@
 // OfRequest returns the lines of a request, and those that tell what happened
 // meanwhile to the groups and endpoints that it was sent to and to the daemons
 // that handled it.
-func OfRequest(lines []Line, id string) []Line {
+func RequestLines(lines []Line, id string) []Line {
 	var first, last time.Time
 	touched, sources := make(map[string]bool), make(map[string]bool)
 	content := ""
@@ -123,7 +123,7 @@
 
 // Believed returns, for each source, the lines that tell what it believed at a
 // moment.
-func Believed(lines []Line, at time.Time) []Line {
+func StateAt(lines []Line, at time.Time) []Line {
 	last := make(map[string]Line)
 	for _, li := range lines {
 		if li.At.After(at) {
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -42,7 +42,7 @@
 			}
 			Sort(lines)
 			var got bytes.Buffer
-			if err := Print(&got, OfRequest(lines, id), id); err != nil {
+			if err := Print(&got, RequestLines(lines, id), id); err != nil {
 				t.Fatal(err)
 			}
 			if os.Getenv("UPDATE_GOLDEN") != "" {
@@ -103,7 +103,7 @@
 	}
 	for _, tc := range tests {
 		var got []string
-		for _, li := range Believed(lines, at(tc.second)) {
+		for _, li := range StateAt(lines, at(tc.second)) {
 			got = append(got, strings.TrimSpace(li.Message+" "+li.Get("version")))
 		}
 		if diff := cmp.Diff(tc.want, got); diff != "" {
