--- a/Makefile
+++ b/Makefile
@@ -7,7 +7,7 @@
 run:
 	@bash scripts/platform.sh $(STACK)-platform
 
-# demo starts the same, sends requests and checks the answers.
+# demo starts the same, sends requests and checks the responses.
 demo:
 	@CORIANDERHUB_SUBNET=19 bash scripts/platform.sh $(STACK)-platform-demo \
 		$(STACK)-platform-demo/bin/platform-demo --directory 127.0.19.1:18083 --directory 127.0.19.2:18083
--- a/scripts/stack.sh
+++ b/scripts/stack.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Starts stand-ins and three daemons as separate processes on loopback, in DIR,
+# Starts test doubles and three daemons as separate processes on loopback, in DIR,
 # and leaves them running until this script is told to stop. With a command
 # after DIR it runs that against the stack and stops.
 set -euo pipefail
