--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// clientTimeout limits a request, as callers do.
+	// clientTimeout limits the duration of a request, as callers do.
 	clientTimeout = 8 * time.Second
 	// addressTTL is how long clients use a resolved list of addresses: three times
 	// the TTL that daemons return, as some callers do.
@@ -35,11 +35,11 @@
 	num  int
 	rnd  *rand.Rand
 	http *http.Client
-	// daemons are the indexes of the daemons that it may connect to, valid until
-	// expiry.
+	// daemons are the indexes in Soak.daemons that the client may connect to. They
+	// are valid until expiry.
 	daemons []int
 	expiry  time.Time
-	// sent is the number of requests sent, for their IDs.
+	// sent is the number of requests sent. It makes their IDs unique.
 	sent int
 }
 
@@ -79,12 +79,12 @@
 		return
 	}
 	defer rsp.Body.Close()
-	var an platform.ResolveResponse
-	if json.NewDecoder(rsp.Body).Decode(&an) != nil || len(an.Addresses) == 0 {
+	var rr platform.ResolveResponse
+	if json.NewDecoder(rsp.Body).Decode(&rr) != nil || len(rr.Addresses) == 0 {
 		return
 	}
 	cl.daemons, cl.expiry = nil, time.Now().Add(addressTTL)
-	for _, addr := range an.Addresses {
+	for _, addr := range rr.Addresses {
 		for num, ps := range cl.so.daemons {
 			if strings.HasPrefix(addr, ps.ip+":") {
 				cl.daemons = append(cl.daemons, num)
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// limitPropagation is how long daemons have to learn of a limit before a
-	// server's requests are counted. limitWindow is the period in which they are
-	// counted.
+	// limitPropagation is the time within which all daemons must apply a limit. Requests
+	// are counted after it, in periods of limitWindow.
 	limitPropagation = 3 * time.Second
 	limitWindow      = 4 * time.Second
 	// maxLimitedRequests is how many requests a server with a limit of one request
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -18,7 +18,8 @@
 // settings of the emulated platform.
 const graceTime = 8 * time.Second
 
-// process runs a daemon as an operating system process and restarts it after each exit.
+// process is a daemon that runs as an operating system process. It can be started again
+// after each exit.
 type process struct {
 	num             int
 	binary, dir, ip string
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -24,8 +24,8 @@
 	Blackholed
 )
 
-// delayTime is how long Delayed holds bytes back. It is longer than the time-out of a
-// connection to an endpoint and shorter than that of a call to the store.
+// delayTime is how long Delayed holds bytes back. It is longer than the timeout for
+// connecting to an endpoint and shorter than that of a call to the store.
 const delayTime = 300 * time.Millisecond
 
 // Proxy is a TCP proxy on loopback that can inject faults into open connections.
@@ -73,7 +73,7 @@
 	return pr.fault
 }
 
-// closeAll closes all connections, with a TCP reset on request.
+// closeAll closes all connections, with a TCP reset if reset is set.
 func (pr *Proxy) closeAll(reset bool) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -42,7 +42,7 @@
 	check      *Checker
 	deployment *emulator.Deployment
 	daemons    []*process
-	// storeProxies inject faults into the responses of the store, and
+	// storeProxies inject faults into the calls to the store, and
 	// storeTCPProxies into the connections to it. Both are indexed by daemon.
 	storeProxies    []*emulator.StoreProxy
 	storeTCPProxies []*Proxy
@@ -51,6 +51,7 @@
 	serverTCPProxies map[string]*Proxy
 	// reserved has the IDs of the model servers that a fault has ended or will end.
 	reserved map[string]bool
+	// versions are the routes that configure has added, one per version.
 	versions []emulator.Route
 }
 
@@ -65,8 +66,8 @@
 	probeInterval = 100 * time.Millisecond
 )
 
-// Run runs the seed and returns the guarantees that were violated. An error means that
-// the platform or a daemon could not be started.
+// Run executes the run and returns the violations of guarantees that it found. An error
+// means that the platform or a daemon could not be started.
 func (so *Soak) Run(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -140,8 +141,8 @@
 	return pr.Start(so.ctx)
 }
 
-// runWorkload runs the clients and injects faults for the time of the run, and waits
-// until all requests and faults have ended.
+// runWorkload runs the clients, watches the configuration of each daemon and injects
+// faults for Duration. It returns when all requests and faults have ended.
 func (so *Soak) runWorkload() {
 	workCtx, stop := context.WithTimeout(so.ctx, so.Duration)
 	defer stop()
@@ -164,7 +165,7 @@
 	running.Wait()
 }
 
-// runFault runs one fault. An unplanned one excuses its effects on requests.
+// runFault runs one fault. The checker excuses the effects of an unplanned one.
 func (so *Soak) runFault(fa fault, rnd *rand.Rand, dur time.Duration) {
 	so.Log.Info("soak: fault.", "fault", fa.String(), "for", dur)
 	if !fa.planned {
@@ -184,8 +185,8 @@
 // sleep waits for dur or until the run ends.
 func (so *Soak) sleep(dur time.Duration) { so.pause(so.ctx, dur) }
 
-// restart ends a daemon and starts it again after a while. It does nothing if another
-// fault has reserved the daemon.
+// restart stops a daemon with end and starts it again after the given time. It does
+// nothing if another fault has reserved the daemon.
 func (so *Soak) restart(ps *process, after time.Duration, end func(*process)) {
 	if !ps.reserve() {
 		return
@@ -255,7 +256,8 @@
 	num := len(so.versions) + 1
 	so.versions = append(so.versions, emulator.Route{Name: fmt.Sprint("version-", num), Host: emulator.Host, Prefix: versionPrefix(num),
 		Kind: "safe", Timeout: 30000, Target: 10000, Attempts: 2, Service: "desk"})
-	// The call holds the lock so that versions are published in order.
+	// Called with the lock held, so that an older list of routes is not published as a
+	// newer version.
 	so.deployment.Configure(slices.Clone(so.versions))
 	so.mu.Unlock()
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,7 +14,7 @@
 	seed  uint64
 	cause string
 }{
-	{21, "the checker took a daemon that refused for lack of a configuration for one that served the newest version"},
+	{21, "the checker counted a refusal by a daemon without a configuration as proof that it served the newest version"},
 }
 
 // Daemons are killed, paused, stopped, disconnected and reconfigured for some seconds.
