--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -25,7 +25,7 @@
 	Leaving bool `json:"leaving"`
 	// TokenDelay is an extra delay before every token, in nanoseconds in JSON.
 	TokenDelay time.Duration `json:"straggle"`
-	// DisconnectAfter disconnects one stream after that many tokens. Zero is none.
+	// DisconnectAfter disconnects one stream after that many tokens. Zero means never.
 	DisconnectAfter int `json:"cut-after"`
 	// Truncate ends one stream cleanly, but without the usage chunk and the terminator.
 	Truncate bool `json:"truncate"`
@@ -61,10 +61,10 @@
 	completed    int
 	inFlight     int
 	slots        chan struct{}
-	// generation is incremented by each order, so that a load that a later order
+	// orderSeq is incremented by each order, so that a load that a later order
 	// has superseded does not report ready.
-	generation int
-	loading    bool
+	orderSeq int
+	loading  bool
 }
 
 const (
@@ -135,7 +135,7 @@
 }
 
 // Handler serves the engine's API. POST /faults calls SetFaults, and GET /counts
-// returns the numbers of weight loads and completed streams.
+// returns the values of Loads and Completed.
 func (en *Engine) Handler() http.Handler {
 	en.init()
 	mux := http.NewServeMux()
@@ -178,9 +178,9 @@
 func (en *Engine) withUnresponsive(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		en.mu.Lock()
-		silent := en.faults.Unresponsive
+		unresponsive := en.faults.Unresponsive
 		en.mu.Unlock()
-		if silent {
+		if unresponsive {
 			<-req.Context().Done()
 			panic(http.ErrAbortHandler)
 		}
@@ -214,7 +214,7 @@
 	if ob.Fence == en.report.Fence && ob.Generation == en.report.Generation && ob.Group == en.report.Group && en.loading {
 		return
 	}
-	en.generation++
+	en.orderSeq++
 	en.loading = false
 	en.report.Fence, en.report.Generation = ob.Fence, ob.Generation
 	if ob.Kind == endpoint.KindRelease {
@@ -223,7 +223,7 @@
 	}
 	if ob.Kind == endpoint.KindPrepare {
 		en.loading = true
-		go en.load(ob, en.generation)
+		go en.load(ob, en.orderSeq)
 		return
 	}
 	en.join(ob)
@@ -245,13 +245,13 @@
 	}
 	en.report.Ready = false
 	en.loading = true
-	go en.load(ob, en.generation)
+	go en.load(ob, en.orderSeq)
 }
 
 // load requests the weights until the platform grants them, waits for LoadTime and
 // reports the model as loaded, and as ready for a join order, unless a later order
 // has superseded the load.
-func (en *Engine) load(ob endpoint.OrderBody, generation int) {
+func (en *Engine) load(ob endpoint.OrderBody, seq int) {
 	for en.Platform != "" {
 		rsp, err := http.Get("http://" + en.Platform + "/weights/" + ob.Model + "/" + ob.Version)
 		if err == nil {
@@ -265,7 +265,7 @@
 	time.Sleep(en.LoadTime)
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.generation != generation {
+	if en.orderSeq != seq {
 		return
 	}
 	en.loads++
@@ -285,7 +285,7 @@
 	ContinueLast bool `json:"continue_final_message"`
 }
 
-// defaultTokens is the length of an answer to a request without max_tokens.
+// defaultTokens is the length, in tokens, of an answer to a request without max_tokens.
 const defaultTokens = 16
 
 // split returns the prompt, and how many tokens of the answer the request already
@@ -465,7 +465,7 @@
 	return en.ringComplete
 }
 
-// Completed returns how many streams completed.
+// Completed returns how many streams sent all their tokens.
 func (en *Engine) Completed() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -117,8 +117,8 @@
 	return st.revision
 }
 
-// responseError returns platform.ErrUnknown if the response to a write that took
-// effect is to be lost. Callers hold mu.
+// responseError returns platform.ErrUnknown if DropResponses applies to a write that
+// took effect, and counts it. Callers hold mu.
 func (st *Store) responseError() error {
 	if st.faults.DropResponses == 0 {
 		return nil
