--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -17,9 +17,11 @@
 	marginAfter = 500 * time.Millisecond
 )
 
-// RequestLines returns the lines of a request, and the lines from the same time about
-// the groups and endpoints that it was sent to and the daemons that handled it.
-// Lines must be sorted by time. The result is nil if no line names the request.
+// RequestLines returns the lines of a request, the lines from the same time about the
+// groups and endpoints that it was sent to and the daemons that handled it, the last
+// view published before it, and all earlier lines about crashes under requests with
+// the same content. Lines must be sorted by time. The result is nil if no line names
+// the request.
 func RequestLines(lines []Line, id string) []Line {
 	var first, last time.Time
 	targets, sources := make(map[string]bool), make(map[string]bool)
