--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -205,7 +205,7 @@
 	return cl.do(ctx, http.MethodPost, "drain", nil, &struct{}{})
 }
 
-// do calls path with body as JSON and decodes the response into into. Any status but
+// do sends body as JSON to path and stores the decoded response in into. Any status but
 // 200 is an error: a *Refusal if the response has its form.
 func (cl *Client) do(ctx context.Context, method, path string, body, into any) error {
 	raw, err := json.Marshal(body)
--- a/pkg/hub/hub.go
+++ b/pkg/hub/hub.go
@@ -94,7 +94,7 @@
 	Seeds []string
 	// Key is the workspace's secret key.
 	Key string
-	// Attempts bounds how often one call is sent; zero means 6.
+	// Attempts bounds how many times one call is sent; zero means 6.
 	Attempts int
 	// HTTP is the HTTP client; nil means one with a connection timeout of 1 s.
 	HTTP *http.Client
@@ -102,7 +102,8 @@
 	mu            sync.Mutex
 	entries       []string
 	entriesExpire time.Time
-	next          int
+	// current modulo the length of entries is the index of the current address.
+	current int
 }
 
 const (
@@ -209,8 +210,8 @@
 	if err != nil {
 		return &verdict.Error{Code: verdict.CodeBadRequest, Verdict: verdict.NotRun, Message: "the call could not be made", Cause: err}
 	}
-	// Without GetBody net/http does not resend a request that has a body. Retries are
-	// decided here, by the verdict.
+	// Retries are decided here, by the verdict. Without GetBody, net/http does not
+	// resend a request with a body by itself, which this client would not notice.
 	req.GetBody = nil
 	cl.setHeaders(req, ca)
 	rsp, err := cl.httpClient().Do(req)
@@ -249,8 +250,9 @@
 	}
 }
 
-// sendError returns the error for a request without a response: not run if the
-// connection failed, else it may have run, because it may have arrived.
+// sendError returns the error for a request without a response. Its verdict is NotRun if
+// the connection could not be established, and else MayHaveRun, because the request may
+// have arrived.
 func sendError(err error) *verdict.Error {
 	ve := &verdict.Error{Code: verdict.CodeEndpointFailed, Verdict: verdict.MayHaveRun, Message: "the daemon did not answer", Cause: err}
 	var op *net.OpError
@@ -275,7 +277,8 @@
 		RetryAfter: time.Duration(eb.Error.RetryAfterMS) * time.Millisecond}
 }
 
-// address returns the current address, after it fetches the list if that has expired.
+// address returns the current address. It first fetches the list of addresses if there
+// is none or it has expired.
 func (cl *Client) address(ctx context.Context) (string, error) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -285,15 +288,15 @@
 	if len(cl.entries) == 0 {
 		return "", &verdict.Error{Code: verdict.CodeNotReady, Verdict: verdict.NotRun, Message: "no daemon answered", RetryAfter: time.Second}
 	}
-	return cl.entries[cl.next%len(cl.entries)], nil
+	return cl.entries[cl.current%len(cl.entries)], nil
 }
 
 // markFailed switches to the next address if addr is the current one.
 func (cl *Client) markFailed(addr string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	if len(cl.entries) > 0 && cl.entries[cl.next%len(cl.entries)] == addr {
-		cl.next++
+	if len(cl.entries) > 0 && cl.entries[cl.current%len(cl.entries)] == addr {
+		cl.current++
 	}
 }
 
--- a/pkg/verdict/verdict.go
+++ b/pkg/verdict/verdict.go
@@ -39,7 +39,7 @@
 	CodeOverloaded Code = "overloaded"
 	// CodeDeadline means that the request did not start before its deadline.
 	CodeDeadline Code = "deadline"
-	// CodeNoGroup means that no group or endpoint address can take the request now.
+	// CodeNoGroup means that no group or endpoint address can be sent the request now.
 	CodeNoGroup Code = "no-group"
 	// CodeNoClaim means that the idempotency key could not be claimed at the platform.
 	CodeNoClaim Code = "no-claim"
@@ -55,7 +55,8 @@
 	CodeBrokenAnswer Code = "broken-answer"
 	// CodeForeignAnswer means that the response belongs to another request.
 	CodeForeignAnswer Code = "foreign-answer"
-	// CodeCallerGone means that the caller disconnected before it had the whole response.
+	// CodeCallerGone means that the caller disconnected before it had received the
+	// complete response.
 	CodeCallerGone Code = "caller-gone"
 	// CodeStopping means that the daemon is stopping.
 	CodeStopping Code = "stopping"
