--- a/cmd/bench/claims.go
+++ b/cmd/bench/claims.go
@@ -21,7 +21,7 @@
 func benchClaims(context.Context) error {
 	for _, rate := range []int{50, 500, 2000} {
 		st := standin.NewStore(clock.System{})
-		bo := &claims.Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
+		rg := &claims.Registry{Store: st, Clock: clock.System{}, Owner: func(int) string { return "" }}
 		var mu sync.Mutex
 		var totalWait time.Duration
 		var wg sync.WaitGroup
@@ -32,12 +32,12 @@
 				ck := claim.NewKey("w", fmt.Sprint(rate, "/", i))
 				op := claim.Op{Kind: claim.Acquire, Shard: ck.Shard, Hash: ck.Hash, Holder: "h", Fingerprint: "p"}
 				start := time.Now()
-				bo.Do(context.Background(), op)
+				rg.Do(context.Background(), op)
 				mu.Lock()
 				totalWait += time.Since(start)
 				mu.Unlock()
 				op.Kind, op.Outcome = claim.Record, &claim.Outcome{Status: 200, Body: []byte(`{"booked":true}`)}
-				bo.Do(context.Background(), op)
+				rg.Do(context.Background(), op)
 			})
 		}
 		wg.Wait()
--- a/cmd/bench/control.go
+++ b/cmd/bench/control.go
@@ -39,7 +39,7 @@
 // benchControl measures the cost of daemons without requests: bytes between daemons,
 // processor time, memory, calls to the platform, and the time until a change is in
 // force at all daemons. All daemons run in this process, so processor time and memory
-// include their listeners and the platform's stand-in.
+// include their listeners and the platform's test double.
 func benchControl(ctx context.Context) error {
 	for _, num := range []int{3, 9, 30, 100} {
 		if err := benchDaemons(ctx, num); err != nil {
--- a/cmd/bench/fleet.go
+++ b/cmd/bench/fleet.go
@@ -39,9 +39,9 @@
 	downtimeWeight, strandedWeight float64
 }
 
-// benchFleet replays the same trace of failures under the planner's production policy
-// and under the baseline, and prints the downtime, stranded accelerators, planning time
-// and weight loads of each.
+// benchFleet replays the same trace of failures under the planner's default policy,
+// Repairing, and under the baseline FirstFit, and prints the downtime, stranded
+// accelerators, planning time and weight loads of each.
 func benchFleet(ctx context.Context) error {
 	for _, fs := range []fleetSize{
 		{"today", 3, 16, 4, 10, 14, 4, 1},
@@ -71,7 +71,7 @@
 type machine struct {
 	vm     fleet.VM
 	report fleet.Report
-	// downUntil is when the VM answers probes again; zero while it does.
+	// downUntil is when the VM answers probes again. It is zero while the VM is up.
 	downUntil   time.Time
 	downSince   time.Time
 	incarnation int
@@ -222,11 +222,11 @@
 	for _, name := range re.names {
 		ma := re.vms[name]
 		in.VMs = append(in.VMs, ma.vm)
-		si := fleet.Observation{Report: ma.report, At: re.now}
+		ob := fleet.Observation{Report: ma.report, At: re.now}
 		if !ma.downUntil.IsZero() {
-			si.FailingSince = ma.downSince.Add(probeDelay)
+			ob.FailingSince = ma.downSince.Add(probeDelay)
 		}
-		in.Observed[name] = si
+		in.Observed[name] = ob
 	}
 	return in
 }
@@ -251,8 +251,8 @@
 // unsettled reports whether a group is down, or whether a VM failed so recently that
 // the planner may not have reacted yet.
 func (re *replay) unsettled(in fleet.Input) bool {
-	ac := fleet.Count(in)
-	if ac.Down["g"] > 0 {
+	st := fleet.Count(in)
+	if st.Down["g"] > 0 {
 		return true
 	}
 	for _, ma := range re.vms {
@@ -317,8 +317,8 @@
 	if next.After(re.end) {
 		next = re.end
 	}
-	ac := fleet.Count(re.input())
-	for _, group := range ac.Whole {
+	st := fleet.Count(re.input())
+	for _, group := range st.Whole {
 		if _, ok := re.servingSince[group]; !ok {
 			re.servingSince[group] = re.now
 		}
@@ -326,8 +326,8 @@
 	elapsed := next.Sub(re.now)
 	// The first hour, in which the groups form, is not counted.
 	if !re.now.Before(re.countFrom) {
-		re.downtime += elapsed * time.Duration(ac.Down["g"])
-		re.strandedTime += elapsed * time.Duration(ac.Stranded)
+		re.downtime += elapsed * time.Duration(st.Down["g"])
+		re.strandedTime += elapsed * time.Duration(st.Stranded)
 	}
 	re.now = next
 }
