--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -62,8 +62,8 @@
 	return eris.Wrap(checkNonRepeatable(ctx, cl), "non-repeatable call")
 }
 
-// checkCompletion streams a completion and compares its text with that of the
-// stand-in engine.
+// checkCompletion streams a completion and compares its text with that which the
+// engine's test double generates for the prompt.
 func checkCompletion(ctx context.Context, cl *hub.Client) error {
 	var text strings.Builder
 	ch := hub.Chat{Model: "linden", Messages: []hub.Message{{Role: "user", Content: prompt}}, MaxTokens: wordCount}
