--- a/cmd/platform-demo/main.go
+++ b/cmd/platform-demo/main.go
@@ -101,11 +101,11 @@
 	if err != nil {
 		return "", err
 	}
-	var an platform.ResolveResponse
-	if err := json.Unmarshal([]byte(raw), &an); err != nil || len(an.Addresses) == 0 {
+	var rr platform.ResolveResponse
+	if err := json.Unmarshal([]byte(raw), &rr); err != nil || len(rr.Addresses) == 0 {
 		return "", eris.Errorf("no address in response %q", raw)
 	}
-	return an.Addresses[0], nil
+	return rr.Addresses[0], nil
 }
 
 // send sends a request with the identifier id as a client of the emulated platform.
@@ -121,8 +121,8 @@
 	})
 }
 
-// do sends a request without a body, which prepare may modify if it is not nil, and returns the status
-// and body of the response.
+// do sends a request without a body and returns the status and body of the response. If
+// prepare is not nil, it is called to modify the request before that.
 func do(ctx context.Context, method, target string, prepare func(*http.Request)) (int, string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
