--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for the systems that corianderhub depends on:
-// the platform, model engines and plain services.
+// Command standin runs test doubles of the systems that corianderhub depends on: the
+// platform, model engines and plain services.
 package main
 
 import (
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// platformCommand runs the stand-in of the platform.
+// platformCommand runs the test double of the platform.
 type platformCommand struct {
 	ctx context.Context
 	listenFlags
@@ -88,7 +88,7 @@
 	return pc.serve(pc.ctx, standin.NewPlatform(vms, pc.WeightsPerMinute).Handler(), waitDone)
 }
 
-// engineCommand runs the stand-in of the model engine on one VM.
+// engineCommand runs the test double of the model engine on one VM.
 type engineCommand struct {
 	ctx context.Context
 	listenFlags
@@ -116,7 +116,7 @@
 	return ec.serve(ec.ctx, en.Handler(), en.Run)
 }
 
-// serviceCommand runs the stand-in of a plain service.
+// serviceCommand runs the test double of a plain service.
 type serviceCommand struct {
 	ctx context.Context
 	listenFlags
