--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -50,7 +50,7 @@
 }
 
 // run executes one soak run for each seed and returns the number of runs with
-// violations.
+// violations. The error is that of a run that could not start.
 func run(ctx context.Context, op options) (failed int, err error) {
 	for seed := op.Seed; seed < op.Seed+uint64(op.Seeds) && ctx.Err() == nil; seed++ {
 		dir := filepath.Join(op.Dir, fmt.Sprint("seed-", seed))
