--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -44,7 +44,8 @@
 // Diff is one object that is added, changed or deleted.
 type Diff struct {
 	// ID is the object's kind and name, such as "workspace/kwekerij".
-	ID     string `json:"id"`
+	ID string `json:"id"`
+	// Action is "add", "change" or "delete".
 	Action string `json:"action"`
 	// Before and After are the object before and after the change; empty if it did
 	// not exist.
@@ -112,7 +113,8 @@
 	DataCenter string `json:"data-center"`
 	// Caller is the address of the daemon's caller listener, as IP:port.
 	Caller string `json:"caller"`
-	State  string `json:"state"`
+	// State is "serving", "leaving" or "dead".
+	State string `json:"state"`
 	// Revision is the configuration in force at the daemon; 0 if it did not answer.
 	Revision uint64 `json:"revision"`
 }
@@ -121,7 +123,8 @@
 type Group struct {
 	ID string `json:"id"`
 	// Spec is the name of the declared group that the replica belongs to.
-	Spec     string   `json:"spec"`
+	Spec string `json:"spec"`
+	// Domain is the fabric domain of the replica's VMs.
 	Domain   string   `json:"domain"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -138,8 +141,10 @@
 	Workspace string    `json:"workspace"`
 	Begin     time.Time `json:"begin"`
 	Attempts  []Attempt `json:"attempts"`
-	Outcome   string    `json:"outcome"`
-	Error     string    `json:"error,omitempty"`
+	// Outcome is "ok" or the verdict.Code of the error. It is empty while the request is
+	// in progress.
+	Outcome string `json:"outcome"`
+	Error   string `json:"error,omitempty"`
 }
 
 // Attempt is one routing decision for a request, or the result of one.
