--- a/cmd/corianderhub/front.go
+++ b/cmd/corianderhub/front.go
@@ -18,7 +18,8 @@
 const frontUsage = `Runs the daemon of an entry VM on the platform until it is stopped.
 
 The environment variable CORIANDERHUB_SETTINGS names the platform's settings
-file. SIGTERM stops the daemon gracefully, SIGHUP makes it read the file again.`
+file. SIGTERM stops the daemon gracefully. SIGHUP makes it read the file again and
+log whether it is valid; the settings in use do not change.`
 
 type frontCommand struct {
 	ctx         context.Context
--- a/cmd/corianderhub/main.go
+++ b/cmd/corianderhub/main.go
@@ -60,7 +60,7 @@
 }
 
 // command is one subcommand with its help texts. Its data receives the parsed
-// flags and executes it.
+// flags and executes the subcommand.
 type command struct {
 	name, short, long string
 	data              flags.Commander
