--- a/cmd/corianderhub/explain.go
+++ b/cmd/corianderhub/explain.go
@@ -26,7 +26,7 @@
 	ctx context.Context
 	operatorFlags
 	Logs []string `long:"log" description:"log of a daemon, - for standard input"`
-	At   string   `long:"at" description:"moment, as in the log, to tell what daemons believed then"`
+	At   string   `long:"at" description:"time, as in the log, for which to print the state that daemons assumed"`
 	Args struct {
 		RequestID string `positional-arg-name:"REQUEST-ID"`
 	} `positional-args:"yes"`
--- a/cmd/corianderhub/front.go
+++ b/cmd/corianderhub/front.go
@@ -24,7 +24,7 @@
 type frontCommand struct {
 	ctx         context.Context
 	MetricsPort int    `long:"metrics-port" default:"9464" description:"port of /metrics, 0 for none"`
-	Log         string `long:"log" choice:"text" choice:"json" default:"text" description:"form of log lines"`
+	Log         string `long:"log" choice:"text" choice:"json" default:"text" description:"format of log lines"`
 	Verbose     bool   `long:"verbose" description:"log every attempt"`
 }
 
--- a/cmd/emulator/main.go
+++ b/cmd/emulator/main.go
@@ -18,10 +18,10 @@
 )
 
 type options struct {
-	Dir          string `long:"dir" required:"yes" description:"where the settings files go"`
-	Daemons      int    `long:"daemons" default:"3" description:"how many settings files to write"`
-	ModelServers int    `long:"models" default:"9" description:"model servers in the fabric domain"`
-	PlainServers int    `long:"desks" default:"3" description:"plain servers"`
+	Dir          string `long:"dir" required:"yes" description:"directory for the settings files"`
+	Daemons      int    `long:"daemons" default:"3" description:"number of settings files to write"`
+	ModelServers int    `long:"models" default:"9" description:"number of model servers in the fabric domain"`
+	PlainServers int    `long:"desks" default:"3" description:"number of plain servers"`
 	Subnet       int    `long:"subnet" default:"9" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
 }
 
--- a/cmd/platform-demo/main.go
+++ b/cmd/platform-demo/main.go
@@ -30,7 +30,7 @@
 )
 
 type options struct {
-	Directories []string `long:"directory" required:"yes" description:"a daemon's address for callers that look for one, IP:port"`
+	Directories []string `long:"directory" required:"yes" description:"address of a daemon's directory listener, IP:port; may be repeated"`
 }
 
 func main() {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -19,15 +19,15 @@
 )
 
 type options struct {
-	Binary        string        `long:"binary" required:"yes" description:"the daemon's program"`
-	Dir           string        `long:"dir" required:"yes" description:"where settings and logs go"`
+	Binary        string        `long:"binary" required:"yes" description:"path of the corianderhub binary"`
+	Dir           string        `long:"dir" required:"yes" description:"directory for settings and logs"`
 	Seed          uint64        `long:"seed" default:"1" description:"the first seed"`
-	Seeds         int           `long:"seeds" default:"1" description:"how many seeds to play"`
-	Daemons       int           `long:"daemons" default:"4" description:"daemons"`
-	ModelServers  int           `long:"models" default:"9" description:"model servers in the fabric domain"`
-	PlainServers  int           `long:"desks" default:"3" description:"plain servers"`
-	Clients       int           `long:"clients" default:"16" description:"clients that send one request after the other"`
-	FaultDuration time.Duration `long:"time" default:"12s" description:"how long faults come in each run"`
+	Seeds         int           `long:"seeds" default:"1" description:"number of seeds to run"`
+	Daemons       int           `long:"daemons" default:"4" description:"number of daemons"`
+	ModelServers  int           `long:"models" default:"9" description:"number of model servers in the fabric domain"`
+	PlainServers  int           `long:"desks" default:"3" description:"number of plain servers"`
+	Clients       int           `long:"clients" default:"16" description:"number of clients; each sends one request after the other"`
+	FaultDuration time.Duration `long:"time" default:"12s" description:"how long faults are injected in each run"`
 	FaultInterval time.Duration `long:"every" default:"700ms" description:"mean time between two faults"`
 	Subnet        int           `long:"subnet" default:"120" description:"daemons get the addresses 127.0.SUBNET.1 and up"`
 }
