--- a/cmd/corianderhub/front.go
+++ b/cmd/corianderhub/front.go
@@ -18,12 +18,13 @@
 const frontUsage = `Runs the daemon of an entry VM on the platform until it is stopped.
 
 The environment variable CORIANDERHUB_SETTINGS names the platform's settings
-file. SIGTERM stops the daemon gracefully, SIGHUP makes it read the file again.`
+file. SIGTERM stops the daemon gracefully. SIGHUP makes it read the file again and
+log whether it is valid; the settings in use do not change.`
 
 type frontCommand struct {
 	ctx         context.Context
 	MetricsPort int    `long:"metrics-port" default:"9464" description:"port of /metrics, 0 for none"`
-	Log         string `long:"log" choice:"text" choice:"json" default:"text" description:"form of log lines"`
+	Log         string `long:"log" choice:"text" choice:"json" default:"text" description:"format of log lines"`
 	Verbose     bool   `long:"verbose" description:"log every attempt"`
 }
 
