--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -65,7 +65,7 @@
 	Journal  *Journal
 	// DataCenter is the name of the data centre that this daemon runs in.
 	DataCenter string
-	// StallTimeout is the longest time between two chunks from an engine before
+	// StallTimeout is the longest time that an engine may send nothing before
 	// the attempt fails.
 	StallTimeout time.Duration
 	// EntriesLifetime is how long callers may cache a response of /v1/entries.
--- a/internal/caller/complete.go
+++ b/internal/caller/complete.go
@@ -52,8 +52,8 @@
 	routing   route.Request
 	guard     atMostOnce
 	out       completionWriter
-	// sentText is the text received from engines so far, which a stream has
-	// passed on to the caller. sentTokens is the number of its tokens.
+	// sentText is the text received from engines so far. A stream has passed it
+	// on to the caller already. sentTokens is the number of its tokens.
 	sentText     strings.Builder
 	sentTokens   int
 	finishReason string
@@ -96,8 +96,9 @@
 	return &claim.Outcome{Status: 200, ContentType: "application/json", Body: raw, Omitted: err != nil}
 }
 
-// parseCompletion reads the request body and estimates its load. It returns a
-// bad-request error if a field is missing or has the wrong type.
+// parseCompletion reads the request body and estimates its load. It returns an
+// error if a field is missing or has the wrong type, or if the model is not
+// declared.
 func (se *Server) parseCompletion(ex *exchange) (*completion, error) {
 	co := &completion{ex: ex, chat: strings.HasSuffix(ex.req.URL.Path, "/chat/completions")}
 	if err := json.Unmarshal(ex.body, &co.fields); err != nil {
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -94,7 +94,8 @@
 }
 
 // mayRetry reports whether a failed attempt may be followed by another. An
-// attempt that may have run is retried only if the call is repeatable.
+// attempt that may have run is retried only if the call is repeatable and not
+// marked as one that must not run twice.
 func (on atMostOnce) mayRetry(err error, repeatable bool) bool {
 	if verdict.Of(err) == verdict.NotRun {
 		return true
--- a/internal/caller/pools.go
+++ b/internal/caller/pools.go
@@ -80,17 +80,18 @@
 	return po, ok
 }
 
-// daemonCapacity returns how many tokens this daemon may have in flight: per
-// group the larger of an equal share of its capacity, and the tokens already in
-// flight plus an equal share of the free capacity in the group's report.
+// daemonCapacity returns how many tokens this daemon may have in flight. Each
+// group adds the larger of two amounts: an equal share of its capacity, or the
+// tokens already in flight plus an equal share of the capacity that the group's
+// report shows as free.
 // Daemons share a group this way without coordination, and a daemon with more
 // callers uses what the others leave free.
 func daemonCapacity(groups []*route.Group, daemons int) int64 {
 	total := int64(0)
 	for _, gr := range groups {
-		part := gr.Capacity() / int64(daemons)
+		share := gr.Capacity() / int64(daemons)
 		free := max(0, gr.Capacity()-gr.Load())
-		total += max(part, gr.OpenTokens()+free/int64(daemons))
+		total += max(share, gr.OpenTokens()+free/int64(daemons))
 	}
 	return total
 }
--- a/internal/caller/service.go
+++ b/internal/caller/service.go
@@ -177,7 +177,7 @@
 func (ap *addressPicker) pick(en intent.Endpoint, tried []string, now time.Time) string {
 	ap.mu.Lock()
 	defer ap.mu.Unlock()
-	last := ""
+	fallback := ""
 	for _, i := range rand.Perm(len(en.Addresses)) {
 		addr := en.Addresses[i]
 		if slices.Contains(en.Leaving, addr) || slices.Contains(tried, addr) {
@@ -186,9 +186,9 @@
 		if now.Sub(ap.failedAt[addr]) >= failureBackoff {
 			return addr
 		}
-		last = addr
+		fallback = addr
 	}
-	return last
+	return fallback
 }
 
 func (ap *addressPicker) markFailed(addr string, now time.Time) {
--- a/internal/caller/write.go
+++ b/internal/caller/write.go
@@ -32,8 +32,8 @@
 
 func (*bufferedWriter) writeChunk(endpoint.Chunk) error { return nil }
 
-func (ww *bufferedWriter) finish(co *completion) error {
-	writeJSON(ww.w, http.StatusOK, co.responseBody())
+func (bw *bufferedWriter) finish(co *completion) error {
+	writeJSON(bw.w, http.StatusOK, co.responseBody())
 	return nil
 }
 
@@ -47,11 +47,11 @@
 
 // choice is one choice of a response or of a chunk.
 type choice struct {
-	Index   int      `json:"index"`
-	Message *message `json:"message,omitempty"`
-	Delta   *message `json:"delta,omitempty"`
-	Text    *string  `json:"text,omitempty"`
-	Finish  *string  `json:"finish_reason"`
+	Index        int      `json:"index"`
+	Message      *message `json:"message,omitempty"`
+	Delta        *message `json:"delta,omitempty"`
+	Text         *string  `json:"text,omitempty"`
+	FinishReason *string  `json:"finish_reason"`
 }
 
 // completionBody is a response or a chunk in the format of the OpenAI API.
@@ -78,12 +78,12 @@
 	text := co.sentText.String()
 	if !co.chat {
 		bo := co.newBody("text_completion")
-		bo.Choices = []choice{{Text: &text, Finish: &co.finishReason}}
+		bo.Choices = []choice{{Text: &text, FinishReason: &co.finishReason}}
 		bo.Usage = co.usage
 		return bo
 	}
 	bo := co.newBody("chat.completion")
-	bo.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, Finish: &co.finishReason}}
+	bo.Choices = []choice{{Message: &message{Role: "assistant", Content: text}, FinishReason: &co.finishReason}}
 	bo.Usage = co.usage
 	return bo
 }
@@ -105,7 +105,7 @@
 		}
 	}
 	if ch.FinishReason != "" {
-		cc.Finish = &ch.FinishReason
+		cc.FinishReason = &ch.FinishReason
 	}
 	bo.Choices = []choice{cc}
 	return sw.event(bo)
@@ -153,8 +153,8 @@
 }
 
 // fail sends the error as an event of the stream. The connection is aborted
-// afterwards: clients that expect the terminator do not find it, and other
-// clients see a truncated transfer.
+// afterwards, without the terminator [DONE]: no client that expects it takes the
+// response for complete, and other clients see a truncated transfer.
 func (sw *streamWriter) fail(ve *verdict.Error) error {
 	if sw.co.ex.headerWritten {
 		// If this write fails, the caller still sees the aborted connection.
