--- a/internal/daemon/act.go
+++ b/internal/daemon/act.go
@@ -194,8 +194,9 @@
 		da.Log.Info("Steward: lease acquired.", "epoch", epoch)
 		return control.LeaseAcquired{Lease: lease, Epoch: epoch, SentAt: sentAt}
 	}
-	// Either another daemon holds the key or the response was lost. Revoking
-	// the new lease also deletes a key that was stored with it.
+	// Either another daemon holds the key or the response was lost. The new
+	// lease is not used in either case. Revoking it also deletes a key that was
+	// stored with it.
 	_ = da.platform.Revoke(ctx, lease)
 	if errors.Is(err, platform.ErrConflict) {
 		return control.LeaseLost{}
@@ -275,8 +276,9 @@
 	return control.DomainWritten{StoredDomain: control.StoredDomain{Domain: ac.Domain, Revision: rev}}
 }
 
-// Handle implements peer.Handler. It answers requests of other daemons, and
-// returns errStopping if the control loop no longer runs.
+// Handle implements peer.Handler. It handles the requests of other daemons, and
+// returns errStopping if the control loop or ctx ends before the loop runs the
+// request.
 func (da *Daemon) Handle(ctx context.Context, req peer.Request) (any, error) {
 	var answer any
 	var err error
--- a/internal/daemon/answer_test.go
+++ b/internal/daemon/answer_test.go
@@ -16,10 +16,11 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-// Checks that a caller gets the complete response to its own request, and
-// nothing of another one, under faults of engines and connections.
+// smallSystem has two groups, so that one can take over from the other.
 var smallSystem = systemSize{daemons: 2, vms: 4, vmsPerGroup: 2, replicas: 2}
 
+// Checks that a caller gets the complete response to its own request, and
+// nothing of another one, under faults of engines and connections.
 func TestHoldOwnAnswer(t *testing.T) {
 	sk := newTestSystem(t, smallSystem)
 	const tokens = 30
@@ -30,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if got != expectedText(tokens) {
-			t.Errorf("answer = %q\nwant %q", got, expectedText(tokens))
+			t.Errorf("response = %q\nwant %q", got, expectedText(tokens))
 		}
 	}
 	faultAll := func(ef standin.EngineFaults) {
@@ -106,7 +107,7 @@
 				t.Fatal(err)
 			}
 			if text.String() != expectedText(tokens) {
-				t.Errorf("answer = %q\nwant %q", text.String(), expectedText(tokens))
+				t.Errorf("response = %q\nwant %q", text.String(), expectedText(tokens))
 			}
 		}
 	})
@@ -126,7 +127,7 @@
 		want.WriteString(standin.Word(`user"`+own+`"`, j))
 	}
 	if got.String() != want.String() {
-		t.Errorf("%s: answer = %q, want %q", own, got.String(), want.String())
+		t.Errorf("%s: response = %q, want %q", own, got.String(), want.String())
 	}
 }
 
@@ -195,7 +196,7 @@
 			if err != nil {
 				t.Error(err)
 			} else if text.String() != expectedText(60) {
-				t.Errorf("answer = %q, want the complete text", text.String())
+				t.Errorf("response = %q, want the complete text", text.String())
 			}
 		}
 		for range 10 {
@@ -230,7 +231,7 @@
 					default:
 					}
 					if got, err := sk.complete(cl, 20); err != nil || got != expectedText(20) {
-						t.Errorf("answer = %q, %v; want the complete text", got, err)
+						t.Errorf("response = %q, %v; want the complete text", got, err)
 						return
 					}
 				}
--- a/internal/daemon/client_test.go
+++ b/internal/daemon/client_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		if got := an.Choices[0].Message.Content; got != expectedText(8) || an.Choices[0].FinishReason != "stop" {
-			t.Errorf("answer = %q (%s), want %q", got, an.Choices[0].FinishReason, expectedText(8))
+			t.Errorf("response = %q (%s), want %q", got, an.Choices[0].FinishReason, expectedText(8))
 		}
 		if an.Usage.CompletionTokens != 8 {
 			t.Errorf("usage = %d tokens, want 8", an.Usage.CompletionTokens)
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		if text.String() != expectedText(8) {
-			t.Errorf("answer = %q, want %q", text.String(), expectedText(8))
+			t.Errorf("response = %q, want %q", text.String(), expectedText(8))
 		}
 	})
 	t.Run("wrong key", func(t *testing.T) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,7 +75,7 @@
 	// drainRequested is closed by Drain, once.
 	drainRequested chan struct{}
 	drainOnce      sync.Once
-	// lastExport is the time of the last addition to the exported counters.
+	// lastExport is the time of the last export of metrics.
 	lastExport time.Time
 }
 
@@ -192,7 +192,7 @@
 	drainCtx, cancel := context.WithTimeout(actorCtx, time.Duration(ti.Drain))
 	defer cancel()
 	if err := da.callerServer.Drain(drainCtx); err != nil {
-		da.Log.Warn("Daemon: drain timeout reached with requests in flight.", "limit", time.Duration(ti.Drain))
+		da.Log.Warn("Daemon: drain timeout reached; aborting the requests in flight.", "limit", time.Duration(ti.Drain))
 	}
 	settleCtx, cancel := context.WithTimeout(drainCtx, settleTimeout)
 	defer cancel()
--- a/internal/daemon/export.go
+++ b/internal/daemon/export.go
@@ -9,8 +9,8 @@
 	"corianderhub.dev/corianderhub/internal/core/control"
 )
 
-// exportInterval is the minimum time between two additions to the counters, and
-// so bounds their resolution.
+// exportInterval is the minimum time between two exports of metrics. It bounds
+// the resolution of the counters.
 const exportInterval = time.Second
 
 // exportMetrics sets the gauges, and on the steward of the data centre adds the
@@ -29,10 +29,10 @@
 		return
 	}
 	dc := da.Settings.DataCenter
-	ac := vi.Steward.Stats
+	stats := vi.Steward.Stats
 	stranded := fmt.Sprintf(`corianderhub_stranded_accelerator_seconds_total{data_center=%q}`, dc)
-	metrics.GetOrCreateFloatCounter(stranded).Add(elapsed.Seconds() * float64(ac.Stranded))
-	for spec, down := range ac.Down {
+	metrics.GetOrCreateFloatCounter(stranded).Add(elapsed.Seconds() * float64(stats.Stranded))
+	for spec, down := range stats.Down {
 		model := vi.Config.Groups[spec].Model
 		name := fmt.Sprintf(`corianderhub_group_downtime_seconds_total{data_center=%q,group=%q,model=%q}`, dc, spec, model)
 		metrics.GetOrCreateFloatCounter(name).Add(elapsed.Seconds() * float64(down))
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -24,8 +24,8 @@
 	"corianderhub.dev/corianderhub/pkg/hub"
 )
 
-// waitLimit bounds all waits for a condition. It is far above the usual time of
-// any, so that a slow machine causes no failures.
+// waitLimit bounds all waits for a condition. It is far longer than any of them
+// usually takes, so that a slow machine causes no failures.
 const waitLimit = 60 * time.Second
 
 const (
@@ -146,7 +146,7 @@
 	}
 }
 
-// addDaemon starts a daemon that knows all earlier ones as seeds.
+// addDaemon starts a daemon with all earlier ones as its seeds.
 func (sk *testSystem) addDaemon(name string) *daemonServer {
 	set := Settings{Name: name, DataCenter: "gent", Region: "flanders", Platform: sk.address,
 		Listen:   Listen{Caller: sk.freeAddress(), Operator: sk.freeAddress(), Peer: sk.freeAddress(), Metrics: sk.freeAddress()},
--- a/internal/daemon/once_test.go
+++ b/internal/daemon/once_test.go
@@ -14,11 +14,12 @@
 	"corianderhub.dev/corianderhub/pkg/verdict"
 )
 
-const confirm = "/orders/confirm"
+// confirmPath is the path of the calls that must not be repeated.
+const confirmPath = "/orders/confirm"
 
 // book sends one booking to one daemon and returns the status and verdict.
 func (sk *testSystem) book(daemon int, key string) (int, verdict.Verdict, error) {
-	rsp, raw, err := sk.post(daemon, confirm, `{"pallets":2}`, map[string]string{hub.HeaderIdempotencyKey: key})
+	rsp, raw, err := sk.post(daemon, confirmPath, `{"pallets":2}`, map[string]string{hub.HeaderIdempotencyKey: key})
 	if err != nil {
 		return 0, verdict.MayHaveRun, err
 	}
@@ -103,7 +104,7 @@
 	// A key that was used for a different request is refused as not run.
 	t.Run("key-reused", func(t *testing.T) {
 		sk.book(0, "reused")
-		rsp, raw, err := sk.post(1, confirm, `{"pallets":3}`, map[string]string{hub.HeaderIdempotencyKey: "reused"})
+		rsp, raw, err := sk.post(1, confirmPath, `{"pallets":3}`, map[string]string{hub.HeaderIdempotencyKey: "reused"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +118,7 @@
 	t.Run("without-key", func(t *testing.T) {
 		before := sk.runs("")
 		sk.service.SetFaults(standin.ServiceFaults{DropResponses: 1})
-		rsp, raw, err := sk.post(0, confirm, `{}`, nil)
+		rsp, raw, err := sk.post(0, confirmPath, `{}`, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +144,7 @@
 		cl := sk.client(0)
 		cl.Seeds = append(cl.Seeds, sk.caller(1))
 		cl.Attempts = 4
-		_, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirm, Body: []byte(`{}`), Key: "killed"})
+		_, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirmPath, Body: []byte(`{}`), Key: "killed"})
 		<-killed
 		if err != nil && verdict.Of(err) == verdict.NotRun {
 			t.Errorf("the booking ran, but the caller got verdict not-run: %v", err)
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -210,7 +210,7 @@
 func bookUntilVerdict(t *testing.T, cl *hub.Client, key string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	an, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirm, Body: []byte(`{}`), Key: key})
+	an, err := cl.Do(ctx, hub.Call{Method: http.MethodPost, Path: confirmPath, Body: []byte(`{}`), Key: key})
 	if err == nil {
 		return an.Status == http.StatusOK
 	}
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -68,7 +68,7 @@
 	ProbeBytes int             `toml:"probe-bytes"`
 	// Entries is how long callers may cache the list of daemon addresses.
 	Entries intent.Duration `toml:"entries"`
-	// Stall is the longest time between two chunks from an engine before the
+	// Stall is the longest time that an engine may send nothing before the
 	// attempt fails.
 	Stall intent.Duration `toml:"stall"`
 	// Drain bounds the wait for requests in flight at a graceful stop.
