--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -113,13 +113,13 @@
 		rd.problems = append(rd.problems, problems...)
 		return
 	}
-	done := withDefaults(ob)
-	id := done.ID()
+	object := withDefaults(ob)
+	id := object.ID()
 	if _, ok := rd.de.locations[id]; ok {
 		rd.addProblem(rd.de.lines.Table(table, nth), id, "stands twice in the file")
 	}
 	rd.de.locations[id] = location{table, nth}
-	rd.de.Change.Puts = append(rd.de.Change.Puts, done)
+	rd.de.Change.Puts = append(rd.de.Change.Puts, object)
 }
 
 // withDefaults sets the role of a group without one to mixed. Other objects are
@@ -138,8 +138,8 @@
 	var problems []admin.Problem
 	for _, fa := range faults {
 		pr := admin.Problem{File: de.file, Key: fa.ID + " " + fa.Key, Reason: fa.Reason}
-		if pl, ok := de.locations[fa.ID]; ok {
-			pr.Line = de.lines.Field(pl.table, pl.nth, fa.Key)
+		if loc, ok := de.locations[fa.ID]; ok {
+			pr.Line = de.lines.Field(loc.table, loc.nth, fa.Key)
 		} else if fa.Key == "delete" {
 			pr.Line = de.lines.TopLevel("delete")
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -145,7 +145,7 @@
 	ctx, cancel := context.WithTimeout(req.Context(), applyTimeout)
 	defer cancel()
 	cfg := se.State.View().Config
-	done, err := se.Chain.Apply(ctx, cfg, chainstore.ApplyRequest{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
+	applied, err := se.Chain.Apply(ctx, cfg, chainstore.ApplyRequest{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
 	var fe *chainstore.FaultsError
 	if errors.As(err, &fe) {
 		problems := de.ProblemsOf(fe.Faults)
@@ -158,12 +158,12 @@
 		writeRefusal(w, ve, nil)
 		return
 	}
-	se.Log.Info("Operator: configuration change accepted.", "revision", done.Revision, "operation", ar.Operation, "operator", ar.Operator)
-	se.State.Post(control.ConfigArrived{Known: true, Snapshot: done.Update.Snapshot, Entries: done.Update.Entries})
-	if done.Snapshotted {
-		go se.prune(done.Update.Head)
+	se.Log.Info("Operator: configuration change accepted.", "revision", applied.Revision, "operation", ar.Operation, "operator", ar.Operator)
+	se.State.Post(control.ConfigArrived{Known: true, Snapshot: applied.Update.Snapshot, Entries: applied.Update.Entries})
+	if applied.Snapshotted {
+		go se.prune(applied.Update.Head)
 	}
-	writeJSON(w, http.StatusOK, admin.Applied{Revision: done.Revision, Operation: ar.Operation, Changes: diffs(cfg.Plan(de.Change))})
+	writeJSON(w, http.StatusOK, admin.Applied{Revision: applied.Revision, Operation: ar.Operation, Changes: diffs(cfg.Plan(de.Change))})
 }
 
 // prune removes the configuration entries that no daemon needs any longer.
