--- a/internal/core/catalog/catalog_test.go
+++ b/internal/core/catalog/catalog_test.go
@@ -73,7 +73,7 @@
 
 // Guards against routing by incomplete groups while no steward publishes views:
 // a view built from the store's entries holds only complete groups with an open
-// head.
+// leader.
 func TestViewFromEntries(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -106,8 +106,8 @@
 }
 
 // Guards against dropping a group when only the entry of a member other than
-// the head is missing: the group of the previous view stays as long as its head
-// is registered and reports nothing else. Without the head the group is
+// the leader is missing: the group of the previous view stays as long as its
+// leader is registered and reports nothing else. Without the leader the group is
 // dropped.
 func TestViewFromEntriesKeepsGroups(t *testing.T) {
 	eps, cfg := entriesFixture()
@@ -118,7 +118,7 @@
 	}
 	delete(eps, "head")
 	if after := ViewFromEntries(eps, cfg, before, 9); len(after.Groups) != 0 {
-		t.Errorf("groups remain after their head was removed: %v", after.Groups)
+		t.Errorf("groups remain after their leader was removed: %v", after.Groups)
 	}
 }
 
--- a/internal/core/catalog/endpoint.go
+++ b/internal/core/catalog/endpoint.go
@@ -11,11 +11,11 @@
 	Joining GroupState = "joining"
 	// Ready members wait until the group is opened.
 	Ready GroupState = "ready"
-	// Open heads accept requests.
+	// Open leaders accept requests.
 	Open GroupState = "open"
-	// Closing heads finish the requests that they have.
+	// Closing leaders finish the requests that they have.
 	Closing GroupState = "closing"
-	// Broken heads lost a member and accept no more requests.
+	// Broken leaders lost a member and accept no more requests.
 	Broken GroupState = "broken"
 )
 
@@ -23,7 +23,7 @@
 type Membership struct {
 	Group string
 	Epoch int64
-	// Rank is the position among the members. The head has rank 0.
+	// Rank is the position among the members. The leader has rank 0.
 	Rank  int
 	State GroupState
 }
--- a/internal/core/catalog/entries.go
+++ b/internal/core/catalog/entries.go
@@ -7,7 +7,7 @@
 
 // ViewFromEntries builds a view from the endpoints' entries in the store alone,
 // for a daemon that receives no views from a steward. Entries lag, so a group
-// of the previous view stays while its head is registered and does not report
+// of the previous view stays while its leader is registered and does not report
 // otherwise.
 func ViewFromEntries(endpoints map[string]Endpoint, cfg *Config, previous *View, revision int64) *View {
 	vi := &View{Revision: revision, Plain: PlainEndpoints(endpoints, cfg)}
@@ -27,22 +27,22 @@
 }
 
 // stillOpen reports whether a group of a previous view may still be used: its
-// head is registered, is not leaving and reports no other group or state, and
+// leader is registered, is not leaving and reports no other group or state, and
 // no member has restarted.
 func (gr *Group) stillOpen(endpoints map[string]Endpoint) bool {
-	head, ok := endpoints[gr.Head().ID]
-	if !ok || head.Leaving {
+	leader, ok := endpoints[gr.Head().ID]
+	if !ok || leader.Leaving {
 		return false
 	}
 	if gr.restarted(endpoints) {
 		return false
 	}
-	mb := head.Member
+	mb := leader.Member
 	return mb == nil || mb.Group == gr.Name && mb.Epoch == gr.Epoch && (mb.State == Open || mb.State == Ready)
 }
 
 // restarted reports whether a member has restarted since it joined. Such a
-// member has lost the group's state, and requests sent to the head would stall.
+// member has lost the group's state, and requests sent to the leader would stall.
 func (gr *Group) restarted(endpoints map[string]Endpoint) bool {
 	return slices.ContainsFunc(gr.Members, func(me Member) bool {
 		ep, ok := endpoints[me.ID]
@@ -50,34 +50,34 @@
 	})
 }
 
-// openGroups returns the complete groups whose heads report that they are open.
+// openGroups returns the complete groups whose leaders report that they are open.
 func openGroups(endpoints map[string]Endpoint, cfg *Config) []Group {
 	var groups []Group
 	for _, id := range slices.Sorted(maps.Keys(endpoints)) {
-		head := endpoints[id]
-		if mb := head.Member; mb == nil || mb.State != Open || mb.Rank != 0 || head.Leaving {
+		leader := endpoints[id]
+		if mb := leader.Member; mb == nil || mb.State != Open || mb.Rank != 0 || leader.Leaving {
 			continue
 		}
-		if gr, ok := completeGroup(head, endpoints, cfg); ok {
+		if gr, ok := completeGroup(leader, endpoints, cfg); ok {
 			groups = append(groups, gr)
 		}
 	}
 	return groups
 }
 
-// completeGroup returns the group of the given head if all its members are
+// completeGroup returns the group of the given leader if all its members are
 // registered in the same epoch.
-func completeGroup(head Endpoint, endpoints map[string]Endpoint, cfg *Config) (Group, bool) {
-	se := cfg.Services[head.Service]
+func completeGroup(leader Endpoint, endpoints map[string]Endpoint, cfg *Config) (Group, bool) {
+	se := cfg.Services[leader.Service]
 	if se.Engine == nil {
 		return Group{}, false
 	}
-	mo, ok := se.Engine.Model(head.Loaded)
+	mo, ok := se.Engine.Model(leader.Loaded)
 	if !ok {
 		return Group{}, false
 	}
-	gr := Group{Name: head.Member.Group, Epoch: head.Member.Epoch, Service: head.Service, Model: mo.Name,
-		DataCenter: head.DataCenter, Members: make([]Member, mo.Size)}
+	gr := Group{Name: leader.Member.Group, Epoch: leader.Member.Epoch, Service: leader.Service, Model: mo.Name,
+		DataCenter: leader.DataCenter, Members: make([]Member, mo.Size)}
 	found := 0
 	for _, ep := range endpoints {
 		mb := ep.Member
--- a/internal/core/catalog/order.go
+++ b/internal/core/catalog/order.go
@@ -5,7 +5,7 @@
 type Order interface{ isOrder() }
 
 // Join makes the endpoint a member of a group. Members holds the IDs in order
-// of rank; the first is the head.
+// of rank; the first is the leader.
 type Join struct {
 	Group   string
 	Epoch   int64
@@ -13,13 +13,13 @@
 	Members []string
 }
 
-// OpenGroup makes a ready head accept requests.
+// OpenGroup makes a ready leader accept requests.
 type OpenGroup struct {
 	Group string
 	Epoch int64
 }
 
-// CloseGroup makes a head stop accepting requests.
+// CloseGroup makes a leader stop accepting requests.
 type CloseGroup struct {
 	Group string
 	Epoch int64
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -32,7 +32,7 @@
 // Instance returns the instance that the view refers to.
 func (pe *PlainEndpoint) Instance() Instance { return Instance{pe.ID, pe.Incarnation} }
 
-// Group is a complete group whose head is open.
+// Group is a complete group whose leader is open.
 type Group struct {
 	Name       string   `json:"name"`
 	Epoch      int64    `json:"epoch"`
@@ -74,7 +74,7 @@
 }
 
 // Instances returns the instances that requests are sent to: the endpoints
-// without groups and the heads of the groups.
+// without groups and the leaders of the groups.
 func (vi *View) Instances() []Instance {
 	var instances []Instance
 	for i := range vi.Plain {
@@ -87,7 +87,7 @@
 }
 
 // Without returns a copy of the view without the plain endpoints for which
-// ended is true and without the groups for whose heads it is true.
+// ended is true and without the groups for whose leaders it is true.
 func (vi *View) Without(ended func(li Instance) bool) *View {
 	rest := *vi
 	rest.Plain = slices.DeleteFunc(slices.Clone(vi.Plain), func(ep PlainEndpoint) bool { return ended(ep.Instance()) })
