--- a/internal/core/chain/chain.go
+++ b/internal/core/chain/chain.go
@@ -39,7 +39,7 @@
 	// Entry is the digest of the entry of this revision.
 	Entry string `json:"entry"`
 	// Recent holds the most recent operations, newest first. An apply whose
-	// answer was lost reads it to find out whether it succeeded, even after
+	// response was lost reads it to find out whether it succeeded, even after
 	// later applies.
 	Recent []Operation `json:"recent"`
 	// Snapshot lists the digests of the pieces of the newest snapshot.
