--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -3,7 +3,7 @@
 // a value of the platform's key-value service. Compare-and-swap on that value
 // decides which of several daemons may dispatch. A claim is released only if
 // the request certainly did not run, so if a daemon fails between the claim and
-// the answer, the key is never dispatched again.
+// the response, the key is never dispatched again.
 //
 // The keys are sharded by the hash of workspace and key, and each shard is a
 // sequence of slices. A full slice is sealed by compare-and-swap before the
@@ -161,13 +161,13 @@
 	Unavailable
 )
 
-// Result is the answer to an operation. Outcome is set if Answer is Finished.
+// Result is the result of an operation. Outcome is set if Answer is Finished.
 type Result struct {
 	Answer  Answer   `cbor:"1,keyasint"`
 	Outcome *Outcome `cbor:"2,keyasint,omitempty"`
 }
 
-// Lookup returns the answer to an Acquire if the slice already holds the key.
+// Lookup returns the result of an Acquire if the slice already holds the key.
 func (sl Slice) Lookup(op Op) (Result, bool) {
 	cl, ok := sl.Claims[op.Hash]
 	switch {
@@ -178,7 +178,7 @@
 	case cl.State == Done:
 		return Result{Answer: Finished, Outcome: cl.Outcome}, true
 	case cl.Holder == op.Holder:
-		// An earlier write of the same holder succeeded, but its answer was
+		// An earlier write of the same holder succeeded, but its response was
 		// lost.
 		return Result{Answer: Granted}, true
 	}
