--- a/internal/core/control/config.go
+++ b/internal/core/control/config.go
@@ -56,7 +56,7 @@
 // ConfigAnswer updates a peer from the revision it requested to the one of this
 // daemon.
 type ConfigAnswer struct {
-	// Known reports whether the answering daemon has a configuration.
+	// Known reports whether the responding daemon has a configuration.
 	Known bool `cbor:"1,keyasint"`
 	// Pieces hold the whole configuration if the recent entries do not reach
 	// back to the requested revision.
--- a/internal/core/control/config_test.go
+++ b/internal/core/control/config_test.go
@@ -58,7 +58,7 @@
 				}
 			}
 		}},
-		// The write of the configuration head takes effect but its answer is
+		// The write of the configuration head takes effect but its response is
 		// lost. The apply recognizes its own operation and does not write it
 		// again.
 		{"lost-answer", func(t *testing.T, w *simulation) {
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -39,14 +39,14 @@
 	SentAt time.Time
 }
 
-// Pulled is a peer's answer to a Pull sent at SentAt.
+// Pulled is a peer's response to a Pull sent at SentAt.
 type Pulled struct {
 	Peer   string
 	SentAt time.Time
 	Answer PullAnswer
 }
 
-// PullFailed reports that a peer did not answer a Pull.
+// PullFailed reports that a peer did not respond to a Pull.
 type PullFailed struct{ Peer string }
 
 // DocsArrived is the result of FetchDocs. Docs is empty if the fetch failed.
@@ -101,7 +101,7 @@
 // LeaseRenewed reports that the lease now runs from SentAt.
 type LeaseRenewed struct{ SentAt time.Time }
 
-// LeaseFailed reports that the platform did not answer a lease request.
+// LeaseFailed reports that the platform did not respond to a lease request.
 type LeaseFailed struct{ SentAt time.Time }
 
 // LeaseLost reports that another daemon holds the lease or that this daemon's
@@ -127,13 +127,13 @@
 type DomainWritten struct{ StoredDomain }
 
 // DomainWriteUnconfirmed reports that a WriteDomain met another revision or
-// received no answer, so that it may or may not have taken effect.
+// received no response, so that it may or may not have taken effect.
 type DomainWriteUnconfirmed struct{ Name string }
 
 // VMsRead is the result of ReadVMs. VMs is nil if the read failed.
 type VMsRead struct{ VMs []fleet.VM }
 
-// OrderDone reports that the engine answered an order or that sending it
+// OrderDone reports that the engine responded to an order or that sending it
 // failed.
 type OrderDone struct{ VM string }
 
--- a/internal/core/control/invariants_test.go
+++ b/internal/core/control/invariants_test.go
@@ -278,7 +278,7 @@
 			w.waitFor("group is repaired", repairLimit, w.allServe(2))
 		}},
 		// The steward is suspended right after it planned a repair. Another
-		// steward makes the repair, and the first resumes with answers
+		// steward makes the repair, and the first resumes with responses
 		// outstanding.
 		{"freeze", func(t *testing.T, w *simulation) {
 			en, _ := w.servingMember("d1")
@@ -344,7 +344,7 @@
 			w.applyOrder(late, fleet.Join{VM: late.vm, Incarnation: late.incarnation, Group: former, Ring: former.Members, Generation: 1})
 			w.waitFor("engine follows the present assignment", repairLimit, func() bool { return late.report.Fence != former.Fence && w.allServe(2)() })
 		}},
-		// Writes of assignments take effect but their answers are lost.
+		// Writes of assignments take effect but their responses are lost.
 		{"lost-answer", func(t *testing.T, w *simulation) {
 			en, _ := w.servingMember("d1")
 			w.setFaults(standin.StoreFaults{DropResponses: 3})
@@ -378,7 +378,7 @@
 			w.waitFor("last applied number of replicas serves", repairLimit, w.allServe(2))
 		}},
 		// The steward dies during a repair, and its write in transit takes
-		// effect without an answer.
+		// effect without a response.
 		{"twice", func(t *testing.T, w *simulation) {
 			en, _ := w.servingMember("d1")
 			en.down = true
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -14,10 +14,10 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// PullAnswer is a daemon's answer to a pull. It is kept small because every
+// PullAnswer is a daemon's response to a pull. It is kept small because every
 // daemon requests about pullFanout of them per Timing.Pull.
 type PullAnswer struct {
-	// Name is the answering daemon, DocsHash the hash of its document table,
+	// Name is the responding daemon, DocsHash the hash of its document table,
 	// and ConfigRevision the revision of its configuration, 0 if it has none.
 	Name           string        `cbor:"1,keyasint"`
 	DocsHash       uint64        `cbor:"2,keyasint"`
@@ -33,7 +33,7 @@
 	Hash uint64
 	// Leader is the index of the leader in the group's members.
 	Leader uint8
-	// AgeMS is the age of the evidence, in milliseconds, when the answer was
+	// AgeMS is the age of the evidence, in milliseconds, when the response was
 	// built.
 	AgeMS uint32
 	// Pending and Resident are in units of 1,024 tokens; Requests is a count.
@@ -85,7 +85,7 @@
 	co.stepDown()
 }
 
-// PullAt returns the answer to a pull that arrives at now.
+// PullAt returns the response to a pull that arrives at now.
 func (co *Core) PullAt(now time.Time) PullAnswer {
 	co.now = now
 	an := PullAnswer{Name: co.set.Name, DocsHash: co.docs.Hash()}
@@ -217,7 +217,7 @@
 	return co.docs.Get(gossip.DaemonPrefix + co.set.Name).Revision
 }
 
-// pulled applies the evidence in a peer's answer and fetches the documents and
+// pulled applies the evidence in a peer's response and fetches the documents and
 // the configuration that this daemon lacks.
 func (co *Core) pulled(ev Pulled) {
 	delete(co.inFlight, keyPull+ev.Peer)
--- a/internal/core/control/probers.go
+++ b/internal/core/control/probers.go
@@ -13,13 +13,13 @@
 	// observationsPause is the interval between pulls of observations.
 	observationsPause = time.Second
 	// proberStateMaxAge is how long the observations of a prober stay in use
-	// after its last answer.
+	// after its last response.
 	proberStateMaxAge = 6 * time.Second
 )
 
 // proberState holds the observations received from one daemon.
 type proberState struct {
-	// boot and change are ObservationsAnswer.Boot and Change of the last answer,
+	// boot and change are ObservationsAnswer.Boot and Change of the last response,
 	// at is when its pull was sent, and vms holds the observations by VM name.
 	boot   int64
 	change uint64
@@ -56,7 +56,7 @@
 	}
 }
 
-// applyObservations merges a daemon's answer into its proberState.
+// applyObservations merges a daemon's response into its proberState.
 func (co *Core) applyObservations(daemon string, sentAt time.Time, an ObservationsAnswer) {
 	so := co.proberStateOf(daemon)
 	restarted := an.Boot != so.boot
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -330,10 +330,10 @@
 	co.permits.Add(permit.Evidence{Group: gr.ID, Fence: ev.Fence, Leader: ev.Leader, At: ev.SentAt, Load: pe.Load})
 }
 
-// ObservationsAnswer is the answer to PullObservations: the observations that
+// ObservationsAnswer is the response to PullObservations: the observations that
 // have changed since the last pull.
 type ObservationsAnswer struct {
-	// Boot identifies the run of the answering daemon.
+	// Boot identifies the run of the responding daemon.
 	Boot int64 `cbor:"1,keyasint"`
 	// Change is the change number from which the next pull continues.
 	Change uint64            `cbor:"2,keyasint"`
--- a/internal/core/control/random_test.go
+++ b/internal/core/control/random_test.go
@@ -28,7 +28,7 @@
 
 // Injects random faults in random order, several at once: dead, suspended and
 // partitioned daemons, dead, unresponsive and restarting VMs, platform outages,
-// lost answers, and operators who change the number of replicas. The simulation
+// lost responses, and operators who change the number of replicas. The simulation
 // checks the invariants after each event. After the faults end, the declared
 // number of groups must serve.
 func TestHoldUnderRandomFaults(t *testing.T) {
--- a/internal/core/control/simulation_test.go
+++ b/internal/core/control/simulation_test.go
@@ -69,7 +69,7 @@
 	inbox []func()
 	// revision is the highest configuration revision observed by check.
 	revision uint64
-	// incarnation changes with each process, so that answers to a former
+	// incarnation changes with each process, so that responses to a former
 	// process of the same daemon are dropped.
 	incarnation int
 }
@@ -233,7 +233,7 @@
 	})
 }
 
-// call sends a message and delivers the answer. handle runs on the receiving
+// call sends a message and delivers the response. handle runs on the receiving
 // side and calls answer with the event to deliver to the sender. If that event
 // does not arrive within callTimeout, failed is delivered instead.
 func (w *simulation) call(no *node, to string, failed control.Event, handle func(answer func(control.Event))) {
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -300,7 +300,7 @@
 			co.adoptDomain(ev.StoredDomain)
 		}
 	case DomainWriteUnconfirmed:
-		// The write may have taken effect although its answer was lost. Only
+		// The write may have taken effect although its response was lost. Only
 		// reading the key shows whether it did.
 		delete(co.inFlight, keyWrite+ev.Name)
 		if st.role != follower {
