--- a/internal/core/dispatch/budget.go
+++ b/internal/core/dispatch/budget.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Budget limits the repeated sends to each service. The limit holds over all daemons together: each
+// Budget limits the retries to each service. The limit holds over all daemons together: each
 // one applies the ratio to its own requests and has its own part of the slack, so no coordination is
 // needed. It is safe for concurrent use.
 type Budget struct {
 	// Ratio is the fraction of the requests that may be sent once more.
 	Ratio float64
-	// Slack is the number of repeats that this daemon may send in each window beyond the ratio.
+	// Slack is the number of retries that this daemon may send in each window beyond the ratio.
 	Slack float64
 	// Window is the length of the sliding window over which the limit holds.
 	Window time.Duration
@@ -25,9 +25,9 @@
 // windowParts is the number of parts into which a window is divided for counting.
 const windowParts = 10
 
-// usage counts a service's requests and repeats over the last window, in a ring of parts.
+// usage counts a service's requests and retries over the last window, in a ring of parts.
 type usage struct {
-	requests, repeats [windowParts + 1]int
+	requests, retries [windowParts + 1]int
 	part              int64
 }
 
@@ -39,30 +39,30 @@
 	ac.requests[ac.part%(windowParts+1)]++
 }
 
-// Spend records a repeat if the budget allows it, and reports whether it does.
+// Spend records a retry if the budget allows it, and reports whether it does.
 func (bu *Budget) Spend(service string, now time.Time) bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ac := bu.usageOf(service, now)
-	if float64(sum(ac.repeats)+1) > bu.allowed(ac, now) {
+	if float64(sum(ac.retries)+1) > bu.allowed(ac, now) {
 		return false
 	}
-	ac.repeats[ac.part%(windowParts+1)]++
+	ac.retries[ac.part%(windowParts+1)]++
 	return true
 }
 
-// Remaining returns the number of repeats that the budget of the service still allows in this window.
+// Remaining returns the number of retries that the budget of the service still allows in this window.
 func (bu *Budget) Remaining(service string, now time.Time) float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ac := bu.usageOf(service, now)
-	return bu.allowed(ac, now) - float64(sum(ac.repeats))
+	return bu.allowed(ac, now) - float64(sum(ac.retries))
 }
 
-// allowed returns the number of repeats permitted in the window that ends now. A daemon that has
+// allowed returns the number of retries permitted in the window that ends now. A daemon that has
 // just started has no record of what it spent before the restart, so it may use only a part of its
 // slack; the slack of all daemons together is half of the total. The oldest part of the ring is only
-// partly within the window: its repeats count, its requests do not.
+// partly within the window: its retries count, its requests do not.
 func (bu *Budget) allowed(ac *usage, now time.Time) float64 {
 	if now.Sub(bu.StartedAt) < bu.Window {
 		return startupShare * bu.Slack
@@ -97,7 +97,7 @@
 	for ac.part < to {
 		ac.part++
 		ac.requests[ac.part%(windowParts+1)] = 0
-		ac.repeats[ac.part%(windowParts+1)] = 0
+		ac.retries[ac.part%(windowParts+1)] = 0
 	}
 }
 
@@ -109,7 +109,7 @@
 	return total
 }
 
-// SetSlack changes the number of repeats that this daemon may send in each window beyond the ratio.
+// SetSlack changes the number of retries that this daemon may send in each window beyond the ratio.
 func (bu *Budget) SetSlack(slack float64) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/internal/core/dispatch/budget_test.go
+++ b/internal/core/dispatch/budget_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// budgetSim simulates daemons that send as many repeats as their budgets allow.
+// budgetSim simulates daemons that send as many retries as their budgets allow.
 type budgetSim struct {
 	budgets []*Budget
-	// requests and repeats are the counts per time step of budgetStep.
-	requests, repeats []int
+	// requests and retries are the counts per time step of budgetStep.
+	requests, retries []int
 	slack             float64
 }
 
@@ -26,21 +26,21 @@
 	bp.budgets[num] = &Budget{Ratio: budgetRatio, Slack: bp.slack * slackShare / float64(len(bp.budgets)), Window: budgetWindow, StartedAt: now}
 }
 
-// step simulates one time step: requests spread over the daemons, each repeated if wanted and
+// step simulates one time step: requests spread over the daemons, each retried if wanted and
 // allowed.
 func (bp *budgetSim) step(requests int, wanted bool, now time.Time) {
-	repeats := 0
+	retries := 0
 	for num := range requests {
 		bu := bp.budgets[num%len(bp.budgets)]
 		bu.Earn("some", now)
 		if wanted && bu.Spend("some", now) {
-			repeats++
+			retries++
 		}
 	}
-	bp.requests, bp.repeats = append(bp.requests, requests), append(bp.repeats, repeats)
+	bp.requests, bp.retries = append(bp.requests, requests), append(bp.retries, retries)
 }
 
-// excess returns the number of repeats above the limit in the worst window. The limit is the slack
+// excess returns the number of retries above the limit in the worst window. The limit is the slack
 // plus budgetRatio times the requests of that window, of the one before it or of the one half a
 // window before it, whichever has the most.
 func (bp *budgetSim) excess() float64 {
@@ -53,14 +53,14 @@
 		return num
 	}
 	worst := -bp.slack
-	for from := range bp.repeats {
+	for from := range bp.retries {
 		requests := max(sum(bp.requests, from), sum(bp.requests, from-span/2), sum(bp.requests, from-span))
-		worst = max(worst, float64(sum(bp.repeats, from))-budgetRatio*float64(requests)-bp.slack)
+		worst = max(worst, float64(sum(bp.retries, from))-budgetRatio*float64(requests)-bp.slack)
 	}
 	return worst
 }
 
-// Guards against daemons that restart without a record of the repeats sent before and exceed the
+// Guards against daemons that restart without a record of the retries sent before and exceed the
 // total budget. After a calm period, groups refuse requests, callers who retry double the request
 // rate, and daemons are killed. The limit must hold in each window, however much budget was left
 // unused before.
@@ -94,7 +94,7 @@
 				bp.step(requests, at >= calm, begin.Add(at))
 			}
 			if over := bp.excess(); over > 0 {
-				t.Errorf("%.0f repeats above the limit in one window", over)
+				t.Errorf("%.0f retries above the limit in one window", over)
 			}
 		})
 	}
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -189,27 +189,27 @@
 	}
 }
 
-// The head of a group fails while this daemon has no stream there, so no stall is observed. Checks
+// The leader of a group fails while this daemon has no stream there, so no stall is observed. Checks
 // that the first failed connection excludes the group: otherwise each request waits for the
 // connection timeout first, and its answer from the next group is late.
-func TestUnreachableHeadExcludesGroup(t *testing.T) {
+func TestUnreachableLeaderExcludesGroup(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
 	ch, ti := ta.Pick(testRequest(), ignore, begin)
 	ta.MarkUnreachable(ch.Group)
 	ti.End()
 	if got := ta.StalledGroups(begin); len(got) != 1 || got[0].Name != ch.Group.Name {
-		t.Errorf("groups to probe: %v, want %s", got, ch.Group.Name)
+		t.Errorf("groups to poll: %v, want %s", got, ch.Group.Name)
 	}
 	for range 10 {
 		other, ti := ta.Pick(testRequest(), ignore, begin)
 		if other.Group == ch.Group {
-			t.Fatal("a request was sent to a group whose head is unreachable")
+			t.Fatal("a request was sent to a group whose leader is unreachable")
 		}
 		ti.End()
 	}
 	ta.MarkHealthy(ch.Group.Name)
 	if got := ta.StalledGroups(begin.Add(time.Minute)); len(got) != 0 {
-		t.Errorf("groups to probe: %v, want none after all members have responded", got)
+		t.Errorf("groups to poll: %v, want none after all members have responded", got)
 	}
 	used := false
 	for range 40 {
@@ -222,7 +222,7 @@
 }
 
 // A group leaves the view while its streams emit events: they must finish. If they stall, they must
-// be canceled without probing the members.
+// be canceled without polling the members.
 func TestGroupLeavesView(t *testing.T) {
 	ta := table(group("a", "here"))
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -258,7 +258,7 @@
 	}
 }
 
-// Checks that repeats stay within the ratio and the slack in any window, however many requests fail.
+// Checks that retries stay within the ratio and the slack in any window, however many requests fail.
 func TestBudget(t *testing.T) {
 	bu := &Budget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
 	var spent []time.Time
@@ -278,14 +278,14 @@
 			}
 		}
 		if float64(num) > most*1.1 {
-			t.Fatalf("%d repeats in a window of 500 requests, want at most the ratio plus the slack", num)
+			t.Fatalf("%d retries in a window of 500 requests, want at most the ratio plus the slack", num)
 		}
 	}
 	if len(spent) < 300 {
-		t.Errorf("%d repeats of 2,000 requests, want at least 300", len(spent))
+		t.Errorf("%d retries of 2,000 requests, want at least 300", len(spent))
 	}
 	if !bu.Spend("other", begin) {
-		t.Error("the first repeat to another service was refused")
+		t.Error("the first retry to another service was refused")
 	}
 }
 
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -11,8 +11,8 @@
 // is read without the lock, so it is never changed.
 type Group struct {
 	catalog.Group
-	// leaving and reportedSlowness are taken from the newest view.
-	leaving          bool
+	// draining and reportedSlowness are taken from the newest view.
+	draining         bool
 	reportedSlowness float64
 	engine           *catalog.Engine
 	model            catalog.Model
@@ -28,12 +28,12 @@
 	// recovered is set when a stalled group emits an event again, until RecoveredGroups has returned
 	// the group.
 	recovered bool
-	// unreachable is set when connecting to the head has failed.
+	// unreachable is set when connecting to the leader has failed.
 	unreachable bool
 	// lastActivity is when the group last emitted an event, or got its first request after having
 	// none.
 	lastActivity time.Time
-	// checkedAt is when the group's members were last probed.
+	// checkedAt is when the group's members were last polled.
 	checkedAt time.Time
 	// streams holds the open requests of this daemon at the group.
 	streams map[*Ticket]struct{}
@@ -42,8 +42,8 @@
 	pauseRatio float64
 }
 
-// head identifies the process that receives the group's requests.
-func (gr *Group) head() catalog.Instance { return gr.Members[0].Instance() }
+// leader identifies the process that receives the group's requests.
+func (gr *Group) leader() catalog.Instance { return gr.Members[0].Instance() }
 
 // Key returns the name that identifies the group in messages between daemons.
 func (gr *Group) Key() string { return gr.Name }
--- a/internal/core/dispatch/limited_test.go
+++ b/internal/core/dispatch/limited_test.go
@@ -8,7 +8,7 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// Guards against requests to a group whose head limits its request rate, and against refusals
+// Guards against requests to a group whose leader limits its request rate, and against refusals
 // without a wait time: groups below their limits must get all requests, and if there are none, the
 // choice says when to retry.
 func TestLimitedGroup(t *testing.T) {
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -112,7 +112,7 @@
 			gr = &Group{Group: cg, lastActivity: now, streams: make(map[*Ticket]struct{})}
 			ta.groups[cg.Name] = gr
 		}
-		gr.leaving, gr.reportedSlowness, gr.engine, gr.model, gr.inView = cg.Leaving, cg.Slowness, en, mo, true
+		gr.draining, gr.reportedSlowness, gr.engine, gr.model, gr.inView = cg.Leaving, cg.Slowness, en, mo, true
 	}
 	for name, gr := range ta.groups {
 		if !gr.inView {
@@ -151,7 +151,7 @@
 	// MeetsObjective is set if the request is expected to meet its objective.
 	MeetsObjective bool
 	// Groups is the number of groups that accept the request. AllLimited is set if there are groups
-	// for the model but the limits reported by their heads currently reject requests at all of them.
+	// for the model but the limits reported by their leaders currently reject requests at all of them.
 	Groups     int
 	AllLimited bool
 	// RetryAfter is the suggested time before a retry if Group is nil.
@@ -220,7 +220,7 @@
 	var cands []candidate
 	var levels []level
 	for _, gr := range ta.byName {
-		if !gr.accepts(ne) || !ta.Backpressure.Accepts(gr.head(), now) {
+		if !gr.accepts(ne) || !ta.Backpressure.Accepts(gr.leader(), now) {
 			continue
 		}
 		le, remoteCost := ta.level(gr), ta.remoteCost(gr)
@@ -254,16 +254,16 @@
 	return cands, left / (concurrent + 1)
 }
 
-// accepts reports whether the request may be sent to the group, limits of its head aside.
+// accepts reports whether the request may be sent to the group, limits of its leader aside.
 func (gr *Group) accepts(ne Request) bool {
-	if !gr.inView || gr.leaving || gr.stalled {
+	if !gr.inView || gr.draining || gr.stalled {
 		return false
 	}
 	return gr.Service == ne.Service && gr.Model == ne.Model && !slices.Contains(ne.Exclude, gr)
 }
 
 // WaitTime returns the time until the first group is expected to accept the request if the limits of
-// all heads currently reject it, and 0 otherwise.
+// all leaders currently reject it, and 0 otherwise.
 func (ta *Table) WaitTime(ne Request, now time.Time) time.Duration {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -273,13 +273,13 @@
 
 // waitTime implements WaitTime. The caller holds mu.
 func (ta *Table) waitTime(ne Request, now time.Time) time.Duration {
-	var heads []catalog.Instance
+	var leaders []catalog.Instance
 	for _, gr := range ta.byName {
 		if gr.accepts(ne) {
-			heads = append(heads, gr.head())
+			leaders = append(leaders, gr.leader())
 		}
 	}
-	return waitTime(ta.Backpressure, heads, now)
+	return waitTime(ta.Backpressure, leaders, now)
 }
 
 // waitTime returns the time until the first of the endpoints is expected to accept a request. It
@@ -357,7 +357,7 @@
 // start counts the request at the candidate's group and returns its ticket.
 func (ta *Table) start(ca candidate, ne Request, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
-	ta.Backpressure.RecordSent(gr.head(), now)
+	ta.Backpressure.RecordSent(gr.leader(), now)
 	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Prefill: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.baseline = ca.baseline
--- a/internal/core/dispatch/waterfill.go
+++ b/internal/core/dispatch/waterfill.go
@@ -38,7 +38,7 @@
 	for _, gr := range ta.byName {
 		if gr.Model == model && gr.inView {
 			groups = append(groups, gr)
-			unavailable = append(unavailable, gr.leaving || gr.stalled || ta.Backpressure.Restricted(gr.head(), now))
+			unavailable = append(unavailable, gr.draining || gr.stalled || ta.Backpressure.Restricted(gr.leader(), now))
 		}
 	}
 	if ta.reportDelay <= 0 || len(groups) == 0 {
