--- a/internal/core/permit/permit.go
+++ b/internal/core/permit/permit.go
@@ -111,7 +111,7 @@
 }
 
 // Fresh returns the evidence that still grants a permit at now. Peers receive
-// it in the answer to a pull.
+// it in the response to a pull.
 func (tb *Table) Fresh(now time.Time) []Evidence {
 	var evs []Evidence
 	for _, ev := range tb.newest {
