--- a/internal/core/quarantine/fingerprint.go
+++ b/internal/core/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
 // Package quarantine identifies requests by their content and quarantines those that crash the
-// servers that run them. A quarantined request is not sent to any server.
+// endpoints that run them. A quarantined request is not sent to any endpoint.
 package quarantine
 
 import (
@@ -17,7 +17,7 @@
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
 
 // Content is the part of a request that determines its fingerprint: what the caller sends to the
-// server that runs the request.
+// endpoint that runs the request.
 type Content struct {
 	Method, Host, URI string
 	// Caller identifies the sender of the request.
--- a/internal/core/quarantine/ledger.go
+++ b/internal/core/quarantine/ledger.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// CrashThreshold is the number of server crashes during a request that puts it in quarantine.
-	// A crash interrupts all requests of the server; an unrelated request is unlikely to be
+	// CrashThreshold is the number of endpoint crashes during a request that puts it in quarantine.
+	// A crash interrupts all requests of the endpoint; an unrelated request is unlikely to be
 	// present at three crashes.
 	CrashThreshold = 3
-	// TTL is how long a request stays in quarantine. A request that crashes servers does so until
+	// TTL is how long a request stays in quarantine. A request that crashes endpoints does so until
 	// their software is fixed.
 	TTL = 24 * time.Hour
 	// suspectTTL is how long the record of a request that was never quarantined is kept after its
 	// last update.
 	suspectTTL = 15 * time.Minute
 	// duplicateWindow is the time within which reports of a crash of the same endpoint are taken
-	// as the same crash. Several daemons report each crash, and a server takes longer than this
+	// as the same crash. Several daemons report each crash, and an endpoint takes longer than this
 	// to restart.
 	duplicateWindow = time.Second
 	// maxRecords bounds the number of requests with a record, at about 1 MB of memory.
@@ -38,7 +38,7 @@
 	Requests []Fingerprint `cbor:"3,keyasint"`
 }
 
-// Completion reports that a request has completed: a server has sent the complete response and
+// Completion reports that a request has completed: an endpoint has sent the complete response and
 // survived it.
 type Completion struct {
 	Request Fingerprint `cbor:"1,keyasint"`
@@ -56,7 +56,7 @@
 	CompletedAt time.Time `json:"answered,omitzero"`
 }
 
-// Ledger records the server crashes during each request, as this daemon and others detect them.
+// Ledger records the endpoint crashes during each request, as this daemon and others detect them.
 // Crashes and completions may be reported in any order and more than once. The zero value is an
 // empty ledger. A Ledger is safe for concurrent use.
 type Ledger struct {
@@ -71,7 +71,7 @@
 
 // record is the state of one request.
 type record struct {
-	crashes []serverCrash
+	crashes []endpointCrash
 	// completedAt is when the request last completed. Crashes before that are not attributed to
 	// it.
 	completedAt time.Time
@@ -82,8 +82,8 @@
 	updatedAt time.Time
 }
 
-// serverCrash is one crash of the server at an endpoint.
-type serverCrash struct {
+// endpointCrash is one crash of the server process of an endpoint.
+type endpointCrash struct {
 	endpoint string
 	at       time.Time
 }
@@ -105,8 +105,8 @@
 }
 
 // addCrash records a crash, unless it is a duplicate of a recorded one.
-func (re *record) addCrash(se serverCrash) {
-	same := func(other serverCrash) bool {
+func (re *record) addCrash(se endpointCrash) {
+	same := func(other endpointCrash) bool {
 		return other.endpoint == se.endpoint && other.at.Sub(se.at).Abs() < duplicateWindow
 	}
 	if !slices.ContainsFunc(re.crashes, same) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// RecordCrash records a server crash, and returns the requests that are newly quarantined by it.
+// RecordCrash records an endpoint crash, and returns the requests that are newly quarantined by it.
 func (le *Ledger) RecordCrash(en Crash, now time.Time) []Fingerprint {
 	le.mu.Lock()
 	defer le.mu.Unlock()
@@ -122,7 +122,7 @@
 	var quarantined []Fingerprint
 	for _, fp := range en.Requests {
 		re := le.record(fp, now)
-		re.addCrash(serverCrash{en.Endpoint, at})
+		re.addCrash(endpointCrash{en.Endpoint, at})
 		if re.crashesSinceCompletion() < CrashThreshold {
 			continue
 		}
@@ -153,7 +153,7 @@
 	re.completedAt = latest(re.completedAt, time.UnixMilli(an.AtMillis))
 }
 
-// Suspected reports whether a server has crashed during the request since it last completed.
+// Suspected reports whether an endpoint has crashed during the request since it last completed.
 func (le *Ledger) Suspected(fp Fingerprint) bool {
 	if le.num.Load() == 0 {
 		return false
--- a/internal/core/quarantine/ledger_test.go
+++ b/internal/core/quarantine/ledger_test.go
@@ -33,8 +33,8 @@
 	return Completion{fingerprint(name), begin.Add(after).UnixMilli()}
 }
 
-// Guards against a request that keeps crashing servers: it must be quarantined after the third
-// crash. Unrelated requests on the same servers must not be.
+// Guards against a request that keeps crashing endpoints: it must be quarantined after the third
+// crash. Unrelated requests on the same endpoints must not be.
 func TestLedger(t *testing.T) {
 	const now = 10 * time.Second
 	tests := []struct {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against a quarantine that never ends or ends early: once the software of the servers is
+// Guards against a quarantine that never ends or ends early: once the software of the endpoints is
 // fixed, a quarantined request must run again, after TTL and not before.
 func TestQuarantineExpires(t *testing.T) {
 	le := &Ledger{}
@@ -100,7 +100,7 @@
 	}
 }
 
-// Guards against the eviction of quarantined requests: when servers crash for unrelated reasons,
+// Guards against the eviction of quarantined requests: when endpoints crash for unrelated reasons,
 // thousands of requests are suspected and compete for the bounded number of records.
 func TestLedgerIsBounded(t *testing.T) {
 	le := &Ledger{}
