--- a/internal/core/steward/entries.go
+++ b/internal/core/steward/entries.go
@@ -108,7 +108,7 @@
 const lagMargin = 150 * time.Millisecond
 
 // Unregister records that an endpoint's entry is gone. The VM may keep serving as a member,
-// but not as a head, and it is not assigned to a new group.
+// but not as a leader, and it is not assigned to a new group.
 func (co *Core) Unregister(id string, now time.Time) {
 	vm, ok := co.vms[id]
 	if !ok {
--- a/internal/core/steward/groups_test.go
+++ b/internal/core/steward/groups_test.go
@@ -278,13 +278,13 @@
 	si.takeOver()
 	si.core.RestoreMember(gr, lost, si.now)
 	si.run(registrationTimeout - time.Second)
-	if !si.headRegrouped(gr) {
-		t.Error("the head of the broken group serves in no other group")
+	if !si.leaderRegrouped(gr) {
+		t.Error("the leader of the broken group serves in no other group")
 	}
 }
 
-// headRegrouped reports whether the head of a group serves in another one.
-func (si *simulation) headRegrouped(gr catalog.Group) bool {
+// leaderRegrouped reports whether the leader of a group serves in another one.
+func (si *simulation) leaderRegrouped(gr catalog.Group) bool {
 	return slices.ContainsFunc(si.core.Groups(), func(other catalog.Group) bool {
 		return other.Name != gr.Name && slices.ContainsFunc(other.Members, func(me catalog.Member) bool { return me.ID == gr.Head().ID })
 	})
@@ -300,8 +300,8 @@
 	si.kill(gr.Members[1].ID)
 	si.takeOver()
 	si.run(registrationTimeout - time.Second)
-	if !si.headRegrouped(gr) {
-		t.Error("the head of the broken group serves in no other group")
+	if !si.leaderRegrouped(gr) {
+		t.Error("the leader of the broken group serves in no other group")
 	}
 }
 
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -123,25 +123,25 @@
 // stepComplete opens a group whose members are all ready, and drains one that is about to lose
 // a member.
 func (co *Core) stepComplete(gr *group, now time.Time) []Call {
-	head := co.vms[gr.members[0]]
+	leader := co.vms[gr.members[0]]
 	if co.mustDrain(gr) {
-		return co.drain(gr, head, now)
+		return co.drain(gr, leader, now)
 	}
-	if head.ep.Member.State != catalog.Ready || !head.orderable() || now.Sub(gr.openOrderedAt) < co.services[gr.service].FormTime+co.lag(head) {
+	if leader.ep.Member.State != catalog.Ready || !leader.orderable() || now.Sub(gr.openOrderedAt) < co.services[gr.service].FormTime+co.lag(leader) {
 		return nil
 	}
-	// A head opens whatever state its members are in, so each member must have reported that
+	// A leader opens whatever state its members are in, so each member must have reported that
 	// it is ready under this name and epoch.
 	for _, id := range gr.members {
 		if st := co.vms[id].ep.Member.State; st != catalog.Ready && st != catalog.Open {
 			return nil
 		}
 	}
-	return []Call{co.command(head, catalog.OpenGroup{Group: gr.name, Epoch: gr.epoch})}
+	return []Call{co.command(leader, catalog.OpenGroup{Group: gr.name, Epoch: gr.epoch})}
 }
 
 // mustDrain reports whether the group is to be drained: its VMs are reassigned to another
-// model, a member leaves or is slow and replaceable, or the head is not registered and can't be
+// model, a member leaves or is slow and replaceable, or the leader is not registered and can't be
 // sent requests.
 func (co *Core) mustDrain(gr *group) bool {
 	if gr.reassigned || !co.vms[gr.members[0]].registered {
@@ -156,25 +156,25 @@
 }
 
 // drain waits until the group has finished its requests and then dissolves it. Meanwhile the
-// published view marks the group as leaving, so that daemons send it no new requests.
-func (co *Core) drain(gr *group, head *vm, now time.Time) []Call {
+// published view marks the group as draining, so that daemons send it no new requests.
+func (co *Core) drain(gr *group, leader *vm, now time.Time) []Call {
 	if gr.drainingSince.IsZero() {
 		gr.drainingSince = now
-		head.pollAt = now.Add(drainPollInterval)
+		leader.pollAt = now.Add(drainPollInterval)
 		co.recordEvent(Event{Kind: "group-retires", Group: gr.name, Model: gr.model, Members: gr.members})
 		return nil
 	}
-	idle := head.running == 0 && head.pollAt.IsZero() && now.Sub(gr.drainingSince) > drainPollInterval
-	if idle || head.ep.Member.State != catalog.Open || now.Sub(gr.drainingSince) > drainTimeout {
+	idle := leader.running == 0 && leader.pollAt.IsZero() && now.Sub(gr.drainingSince) > drainPollInterval
+	if idle || leader.ep.Member.State != catalog.Open || now.Sub(gr.drainingSince) > drainTimeout {
 		co.startDissolving(gr, "retired")
 		return co.dissolve(gr)
 	}
-	head.pollBy(now.Add(drainPollInterval))
+	leader.pollBy(now.Add(drainPollInterval))
 	return nil
 }
 
 // dissolve orders every reachable member to leave the group. Each member acknowledges this
-// itself. An unreachable head may still consider the group intact, but it can't serve anything
+// itself. An unreachable leader may still consider the group intact, but it can't serve anything
 // without its members.
 func (co *Core) dissolve(gr *group) []Call {
 	var calls []Call
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -41,21 +41,21 @@
 }
 
 // The entries of every eighth VM expire at once because these VMs can't reach the store. The
-// VMs still respond to polls, with some packet loss, and their groups must keep serving. Heads
-// keep their entries, because a head without one may not be sent requests.
+// VMs still respond to polls, with some packet loss, and their groups must keep serving. Leaders
+// keep their entries, because a leader without one may not be sent requests.
 func TestExpiredEntriesAreNotMemberLoss(t *testing.T) {
 	si := newSimulationWith(t, 2, 5, 73, wideModels)
 	si.runInitialLoads(4 * time.Second)
 	si.cpuPerCall = callCPUTime
-	heads := make(map[string]bool)
+	leaders := make(map[string]bool)
 	for _, gr := range si.core.Groups() {
-		heads[gr.Head().ID] = true
+		leaders[gr.Head().ID] = true
 	}
 	before := si.core.Groups()
 	si.storeDown = true
 	si.lostPollResponses = 0.2
 	for i, id := range si.fleet.IDs() {
-		if i%8 == 0 && !heads[id] {
+		if i%8 == 0 && !leaders[id] {
 			delete(si.entries, id)
 			si.core.Unregister(id, si.now)
 		}
--- a/internal/core/steward/restart.go
+++ b/internal/core/steward/restart.go
@@ -21,7 +21,7 @@
 
 // handleRestart resets the state of a VM whose server process restarted under its ID, which
 // shows as a different incarnation in its entry or in a report. Groups that relied on the
-// earlier incarnation are dissolved: their heads are unaware of the restart, and their streams
+// earlier incarnation are dissolved: their leaders are unaware of the restart, and their streams
 // stall. Orders to the earlier incarnation don't count for this one, and the VM is used only
 // after it has reported.
 func (co *Core) handleRestart(one *vm, ep catalog.Endpoint, now time.Time) {
--- a/internal/core/steward/restart_test.go
+++ b/internal/core/steward/restart_test.go
@@ -9,7 +9,7 @@
 )
 
 // A server process restarts under its ID: it has lost its group membership and counts its
-// orders from 0 again, and requests to its group's head would stall. Whenever this happens,
+// orders from 0 again, and requests to its group's leader would stall. Whenever this happens,
 // the other members must soon serve in another group, the VM must be used again, and no VM may
 // be in two groups.
 func TestMemberRestarts(t *testing.T) {
--- a/internal/core/steward/simulation_test.go
+++ b/internal/core/steward/simulation_test.go
@@ -185,9 +185,9 @@
 
 // reportStalls reports groups that are not running requests to the steward, as daemons do.
 func (si *simulation) reportStalls() {
-	heads := si.fleet.OpenHeads(si.now)
+	leaders := si.fleet.OpenHeads(si.now)
 	serving := make(map[string]bool)
-	for _, ids := range heads {
+	for _, ids := range leaders {
 		for _, id := range ids {
 			serving[id] = true
 		}
@@ -259,8 +259,8 @@
 
 // serving returns the number of groups of each model that serve.
 func (si *simulation) serving() (large, small int) {
-	heads := si.fleet.OpenHeads(si.now)
-	return len(heads["large"]), len(heads["small"])
+	leaders := si.fleet.OpenHeads(si.now)
+	return len(leaders["large"]), len(leaders["small"])
 }
 
 // runInitialLoads advances the simulation by dur and then ends the initial loads, as a
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -37,7 +37,7 @@
 	// drainTimeout bounds the wait for the requests of a group that is being drained. Streams
 	// last 2 s on average and about 5 s at most.
 	drainTimeout = 5 * time.Second
-	// drainPollInterval is the time between polls of the head of a group that is being
+	// drainPollInterval is the time between polls of the leader of a group that is being
 	// drained.
 	drainPollInterval = 300 * time.Millisecond
 	// sparePrefix and groupPrefix distinguish serving groups from single VMs that only hold a
@@ -176,7 +176,7 @@
 	service string
 	model   string
 	// members are the VM IDs by rank; an ID is empty until that member has been seen. The
-	// member of rank 0 is the head, which receives the group's requests.
+	// member of rank 0 is the leader, which receives the group's requests.
 	members []string
 	// planned is when this steward planned the group; zero for groups discovered from reports.
 	planned time.Time
@@ -195,7 +195,7 @@
 	ownReportOnly bool
 	// drainingSince is when the group began to drain; zero before.
 	drainingSince time.Time
-	// openOrderedAt is when the head accepted the order to open.
+	// openOrderedAt is when the leader accepted the order to open.
 	openOrderedAt time.Time
 	// reassigned is set if the group's VMs are to load another model. It is drained first.
 	reassigned bool
--- a/internal/core/steward/view.go
+++ b/internal/core/steward/view.go
@@ -6,7 +6,7 @@
 	"corianderhub.dev/corianderhub/internal/core/catalog"
 )
 
-// Groups returns the groups that serve: complete, with an open head.
+// Groups returns the groups that serve: complete, with an open leader.
 func (co *Core) Groups() []catalog.Group {
 	var groups []catalog.Group
 	for _, ke := range co.keys() {
