--- a/internal/endpoint/member.go
+++ b/internal/endpoint/member.go
@@ -66,7 +66,7 @@
 	maxReportBytes = 64 << 10
 )
 
-// MemberClient polls engine members and sends orders to them.
+// MemberClient probes engine members and sends orders to them.
 type MemberClient struct {
 	// Transport is shared by all members. If it is nil, http.DefaultTransport is used.
 	Transport http.RoundTripper
