--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -116,8 +116,8 @@
 	st.choice = ch
 	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
-	head := ch.Group.Head()
-	ex, err := st.sv.Pool.Send(attemptCtx, head.Address, st.groupRequest(head.ID))
+	leader := ch.Group.Head()
+	ex, err := st.sv.Pool.Send(attemptCtx, leader.Address, st.groupRequest(leader.ID))
 	if err == nil || http1.VerdictOf(err) != verdict.NotRun {
 		st.sends++
 		sendCount.Inc()
@@ -130,7 +130,7 @@
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
+	st.sv.ApplyResponseHeader(leader.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.handleNonStream(attemptCtx, ch, ex, sent)
 	}
@@ -317,8 +317,8 @@
 			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It is idle but refuses requests, so it would look best again.
-			head := gr.Head()
-			st.sv.Backpressure.SetRefused(head.Instance(), sent, st.sv.Clock.Now())
+			leader := gr.Head()
+			st.sv.Backpressure.SetRefused(leader.Instance(), sent, st.sv.Clock.Now())
 		}
 		st.log.Info("front: group refused.", "group", gr.Name, "status", an.status)
 		return false
