--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -73,7 +73,7 @@
 	}
 	want := ""
 	for i := range wordCount {
-		want += standin.Word("user\""+prompt+"\"", i)
+		want += standin.Token("user\""+prompt+"\"", i)
 	}
 	if text.String() != want {
 		return eris.Errorf("got %q, want %q", text.String(), want)
--- a/cmd/platform-demo/main.go
+++ b/cmd/platform-demo/main.go
@@ -113,7 +113,7 @@
 	return do(ctx, http.MethodPost, "http://"+addr+path, func(req *http.Request) {
 		req.Host = emulator.Host
 		req.Header.Set(platform.HeaderRequestID, id)
-		req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.Key)
+		req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.APIKey)
 		req.Header.Set(platform.HeaderModel, emulator.ModelLarge)
 		if strings.HasPrefix(path, "/draft/") {
 			req.Header.Set(platform.HeaderTokens, fmt.Sprint("100,", eventCount*7))
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	res := se.Claims.Do(ctx, op)
-	switch res.Answer {
+	switch res.Code {
 	case claim.Granted:
 		return atMostOnce{required: true, op: &op}, nil, nil
 	case claim.Finished:
@@ -88,7 +88,7 @@
 	op.Kind = claim.Release
 	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
-	if se.Claims.Do(ctx, op).Answer != claim.Applied {
+	if se.Claims.Do(ctx, op).Code != claim.Applied {
 		se.Claims.ReleaseInBackground(op)
 	}
 }
--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -60,8 +60,8 @@
 
 // simDaemon is one daemon of the simulation.
 type simDaemon struct {
-	ip  string
-	reg *Register
+	ip      string
+	tracker *Tracker
 	// A down daemon has stalled or stopped; a partitioned one exchanges no messages with the
 	// others; an idle one receives no requests.
 	down, partitioned, idle bool
@@ -73,7 +73,7 @@
 }
 
 // restart replaces the daemon's process by one without state.
-func (da *simDaemon) restart() { da.reg, da.limitKnownAt, da.seen = &Register{}, 0, nil }
+func (da *simDaemon) restart() { da.tracker, da.limitKnownAt, da.seen = &Tracker{}, 0, nil }
 
 // counts reports whether a request that the daemon sends at the given time counts toward the
 // limit.
@@ -92,7 +92,7 @@
 func newSim(daemons int, demand float64, limit func(at time.Duration) Limit) *sim {
 	si := &sim{demand: demand, limit: limit, rd: rand.New(rand.NewPCG(1, uint64(daemons)))}
 	for num := range daemons {
-		si.daemons = append(si.daemons, &simDaemon{ip: fmt.Sprint("10.0.0.", num), reg: &Register{}})
+		si.daemons = append(si.daemons, &simDaemon{ip: fmt.Sprint("10.0.0.", num), tracker: &Tracker{}})
 	}
 	return si
 }
@@ -150,31 +150,31 @@
 		}
 		if !da.down && !slices.Equal(da.seen, seen) {
 			da.seen = seen
-			da.reg.SetDaemons(da.ip, seen, len(si.daemons), si.now())
+			da.tracker.SetDaemons(da.ip, seen, len(si.daemons), si.now())
 		}
 	}
 }
 
-// send sends a request from the daemon if its register permits it, and schedules the response.
+// send sends a request from the daemon if its tracker permits it, and schedules the response.
 func (si *sim) send(da *simDaemon) {
-	if !da.reg.Accepts(limitedInstance, si.now()) {
+	if !da.tracker.Accepts(limitedInstance, si.now()) {
 		return
 	}
-	da.reg.RecordSent(limitedInstance, si.now())
+	da.tracker.RecordSent(limitedInstance, si.now())
 	si.sent++
 	if da.counts(si.at) {
 		si.arrivals = append(si.arrivals, si.at)
 	}
 	if si.shedFraction != nil && si.rd.Float64() < si.shedFraction(si.at) {
 		si.refused++
-		si.schedule(refusalDelay, func() { da.reg.SetRetryAfter(limitedInstance, retryAfter, si.now()) })
+		si.schedule(refusalDelay, func() { da.tracker.SetRetryAfter(limitedInstance, retryAfter, si.now()) })
 		return
 	}
-	reg, sent, limit := da.reg, si.now(), si.limit(si.at)
+	tracker, sent, limit := da.tracker, si.now(), si.limit(si.at)
 	si.schedule(responseDelay, func() {
-		reg.SetAccepted(limitedInstance, sent, si.now())
-		reg.SetLimit(limitedInstance, limit, sent, si.now())
-		if limit.Named && reg == da.reg && da.limitKnownAt == 0 {
+		tracker.SetAccepted(limitedInstance, sent, si.now())
+		tracker.SetLimit(limitedInstance, limit, sent, si.now())
+		if limit.Named && tracker == da.tracker && da.limitKnownAt == 0 {
 			da.limitKnownAt = si.at
 		}
 	})
@@ -183,14 +183,14 @@
 // sendNotices delivers the pending notices of each daemon to all others, as a steward relays them.
 func (si *sim) sendNotices() {
 	for _, da := range si.daemons {
-		notices := da.reg.PendingNotices(si.now(), heartbeatInterval, false)
+		notices := da.tracker.PendingNotices(si.now(), heartbeatInterval, false)
 		if len(notices) == 0 || da.partitioned || da.down {
 			continue
 		}
 		si.schedule(noticeDelay, func() {
 			for _, other := range si.daemons {
 				if other != da && !other.partitioned && !other.down {
-					other.reg.ApplyNotices(notices, si.now())
+					other.tracker.ApplyNotices(notices, si.now())
 				}
 			}
 		})
@@ -340,37 +340,37 @@
 	next := catalog.Instance{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name  string
-		run   func(re *Register)
+		run   func(re *Tracker)
 		named bool
 	}{
-		{"named", func(*Register) {}, true},
-		{"withdrawn", func(re *Register) { re.SetLimit(limitedInstance, none, after(time.Second), after(2*time.Second)) }, false},
-		{"the answer to an earlier request comes late", func(re *Register) {
+		{"named", func(*Tracker) {}, true},
+		{"withdrawn", func(re *Tracker) { re.SetLimit(limitedInstance, none, after(time.Second), after(2*time.Second)) }, false},
+		{"the answer to an earlier request comes late", func(re *Tracker) {
 			re.SetLimit(limitedInstance, none, after(-time.Second), after(2*time.Second))
 		}, true},
-		{"another daemon's newer word", func(re *Register) {
+		{"another daemon's newer word", func(re *Tracker) {
 			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: time.Second}}, after(2*time.Second))
 		}, false},
-		{"another daemon's older word", func(re *Register) {
+		{"another daemon's older word", func(re *Tracker) {
 			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: 3 * time.Second}}, after(2*time.Second))
 		}, true},
-		{"another daemon's word that says nothing of a limit", func(re *Register) {
-			other := &Register{}
+		{"another daemon's word that says nothing of a limit", func(re *Tracker) {
+			other := &Tracker{}
 			other.SetRetryAfter(limitedInstance, 3*time.Second, after(time.Second))
 			re.ApplyNotices(other.Notices(after(time.Second)), after(time.Second))
 			other.SetLeaving(limitedInstance, after(time.Second))
 			re.ApplyNotices(other.Notices(after(2*time.Second)), after(2*time.Second))
 		}, true},
-		{"the process starts anew", func(re *Register) { re.SetLimit(next, none, after(time.Second), after(2*time.Second)) }, false},
-		{"a word of its earlier life", func(re *Register) {
+		{"the process starts anew", func(re *Tracker) { re.SetLimit(next, none, after(time.Second), after(2*time.Second)) }, false},
+		{"a word of its earlier life", func(re *Tracker) {
 			re.SetLimit(next, limit, after(time.Second), after(2*time.Second))
 			re.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: none, LimitAge: 1}}, after(3*time.Second))
 		}, true},
-		{"not repeated for long", func(re *Register) { re.Sweep(after(retention + time.Second)) }, false},
+		{"not repeated for long", func(re *Tracker) { re.Sweep(after(retention + time.Second)) }, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			re := &Register{}
+			re := &Tracker{}
 			re.SetLimit(limitedInstance, limit, after(-time.Millisecond), begin)
 			tc.run(re)
 			if got := re.NumLimited() == 1; got != tc.named {
@@ -385,7 +385,7 @@
 func TestPendingNotices(t *testing.T) {
 	now := time.Unix(100, 0)
 	const span = 200 * time.Millisecond
-	re := &Register{}
+	re := &Tracker{}
 	re.SetLimit(limitedInstance, Limit{2, true}, now, now)
 	steps := []struct {
 		at    time.Duration
@@ -417,7 +417,7 @@
 	if num := len(re.PendingNotices(now.Add(8*time.Second), span, false)); num != 1 {
 		t.Errorf("%d first-hand notices after they were echoed back, want 1", num)
 	}
-	other := &Register{}
+	other := &Tracker{}
 	other.ApplyNotices([]Notice{{Instance: limitedInstance, Limit: Limit{2, true}, LimitAge: 1}}, now)
 	if num := len(other.PendingNotices(now, span, false)); num != 0 {
 		t.Errorf("%d notices of other daemons relayed without relay, want 0", num)
@@ -435,31 +435,31 @@
 	next := catalog.Instance{ID: limitedInstance.ID, Incarnation: limitedInstance.Incarnation + 1}
 	tests := []struct {
 		name string
-		run  func(re *Register)
+		run  func(re *Tracker)
 		want map[catalog.Instance]bool
 	}{
-		{"announced in a response", func(re *Register) { re.SetLeaving(limitedInstance, now) }, map[catalog.Instance]bool{limitedInstance: true, next: false}},
-		{"announced before the incarnation is known", func(re *Register) {
+		{"announced in a response", func(re *Tracker) { re.SetLeaving(limitedInstance, now) }, map[catalog.Instance]bool{limitedInstance: true, next: false}},
+		{"announced before the incarnation is known", func(re *Tracker) {
 			re.SetLeaving(unknown, now)
 			re.Accepts(limitedInstance, now)
 		}, map[catalog.Instance]bool{limitedInstance: true, next: false}},
-		{"notice from another daemon", func(re *Register) {
+		{"notice from another daemon", func(re *Tracker) {
 			if num := len(re.ApplyNotices([]Notice{{Instance: limitedInstance, Leaving: true, LeavingAge: time.Second}}, now)); num != 1 {
 				t.Errorf("%d endpoints with a new shutdown announcement, want 1", num)
 			}
 		}, map[catalog.Instance]bool{limitedInstance: true, next: false}},
-		{"responses that do not repeat it", func(re *Register) {
+		{"responses that do not repeat it", func(re *Tracker) {
 			re.SetLeaving(limitedInstance, now)
 			re.SetLimit(limitedInstance, Limit{}, now.Add(time.Second), now.Add(time.Second))
 			re.Sweep(now.Add(time.Minute))
 		}, map[catalog.Instance]bool{limitedInstance: true}},
-		{"retention period over", func(re *Register) {
+		{"retention period over", func(re *Tracker) {
 			re.SetLeaving(limitedInstance, now)
 			re.Sweep(now.Add(retention + time.Second))
 		}, map[catalog.Instance]bool{limitedInstance: false}},
 	}
 	for _, tc := range tests {
-		re := &Register{}
+		re := &Tracker{}
 		tc.run(re)
 		for li, want := range tc.want {
 			if got := re.Leaving(li); got != want || re.Accepts(li, now) == want {
--- a/internal/core/backpressure/notice.go
+++ b/internal/core/backpressure/notice.go
@@ -48,7 +48,7 @@
 // call for the given span, since messages may be lost, and a limit that the endpoint keeps
 // announcing is sent again every resendInterval. If relay is set, the result includes state that
 // this daemon received from others.
-func (re *Register) PendingNotices(now time.Time, span time.Duration, relay bool) []Notice {
+func (re *Tracker) PendingNotices(now time.Time, span time.Duration, relay bool) []Notice {
 	if re.num.Load() == 0 {
 		return nil
 	}
@@ -86,7 +86,7 @@
 }
 
 // Notices returns one notice for each known endpoint, for a daemon that has just started.
-func (re *Register) Notices(now time.Time) []Notice {
+func (re *Tracker) Notices(now time.Time) []Notice {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	var notices []Notice
@@ -98,7 +98,7 @@
 
 // ResendNotices schedules all first-hand state to be sent to the other daemons again, as a new
 // steward may not have it.
-func (re *Register) ResendNotices() {
+func (re *Tracker) ResendNotices() {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 
 // ApplyNotices applies the notices of another daemon, and returns the endpoints whose shutdown was
 // unknown before.
-func (re *Register) ApplyNotices(notices []Notice, now time.Time) (leaving []catalog.Instance) {
+func (re *Tracker) ApplyNotices(notices []Notice, now time.Time) (leaving []catalog.Instance) {
 	for _, nt := range notices {
 		if nt.Leaving && re.applyLeaving(nt, now) {
 			leaving = append(leaving, nt.Instance)
@@ -124,7 +124,7 @@
 
 // applyLeaving records a shutdown announcement that another daemon received, and reports whether
 // it was unknown before.
-func (re *Register) applyLeaving(nt Notice, now time.Time) bool {
+func (re *Tracker) applyLeaving(nt Notice, now time.Time) bool {
 	if !re.SetLeaving(nt.Instance, now.Add(-nt.LeavingAge)) {
 		return false
 	}
@@ -137,7 +137,7 @@
 }
 
 // applyLimit records a limit that another daemon received, if it is newer than the known one.
-func (re *Register) applyLimit(nt Notice, now time.Time) {
+func (re *Tracker) applyLimit(nt Notice, now time.Time) {
 	if nt.LimitAge == 0 {
 		return
 	}
@@ -161,7 +161,7 @@
 
 // applyShed records a refusal or acceptance that another daemon received, if it is newer than the
 // known one.
-func (re *Register) applyShed(nt Notice, now time.Time) {
+func (re *Tracker) applyShed(nt Notice, now time.Time) {
 	if nt.ShedAge == 0 {
 		return
 	}
--- a/internal/core/backpressure/register.go
+++ b/internal/core/backpressure/register.go
@@ -14,11 +14,11 @@
 // retention is how long the state of an endpoint is kept if no response refreshes it.
 const retention = 2 * time.Minute
 
-// Register holds the last known backpressure state of each endpoint. It is safe for concurrent
-// use. The zero value is ready for use in a daemon that runs alone. On a nil Register, the
+// Tracker holds the last known backpressure state of each endpoint. It is safe for concurrent
+// use. The zero value is ready for use in a daemon that runs alone. On a nil Tracker, the
 // methods Accepts, RecordSent, WaitTime, Leaving and Restricted treat every endpoint as
 // unrestricted.
-type Register struct {
+type Tracker struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
 	daemons   daemons
@@ -62,7 +62,7 @@
 
 // SetRetryAfter records that the endpoint refused a request and asked this daemon to send none for
 // the given time.
-func (re *Register) SetRetryAfter(li catalog.Instance, retryAfter time.Duration, now time.Time) {
+func (re *Tracker) SetRetryAfter(li catalog.Instance, retryAfter time.Duration, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.ensure(li)
@@ -79,7 +79,7 @@
 // SetRefused records that the endpoint refused a request without naming a retry time. sent is
 // when the request was sent. Refusals of requests that were sent before the current back-off
 // ends are ignored, so that requests in flight at the same time count once.
-func (re *Register) SetRefused(li catalog.Instance, sent, now time.Time) {
+func (re *Tracker) SetRefused(li catalog.Instance, sent, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if ep := re.ensure(li); ep != nil && !sent.Before(ep.backoffUntil) {
@@ -88,7 +88,7 @@
 }
 
 // SetAccepted records that the endpoint accepted a request. sent is when the request was sent.
-func (re *Register) SetAccepted(li catalog.Instance, sent, now time.Time) {
+func (re *Tracker) SetAccepted(li catalog.Instance, sent, now time.Time) {
 	if re.num.Load() == 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 
 // SetLimit records the limit that a response announced, or that it announced none, and reports
 // whether it differs from the known limit. sent is when the request was sent.
-func (re *Register) SetLimit(li catalog.Instance, limit Limit, sent, now time.Time) bool {
+func (re *Tracker) SetLimit(li catalog.Instance, limit Limit, sent, now time.Time) bool {
 	if !limit.Named && re.num.Load() == 0 {
 		return false
 	}
@@ -148,7 +148,7 @@
 
 // ensure returns the state of an endpoint instance and creates it if necessary. It returns nil
 // if a later incarnation is known.
-func (re *Register) ensure(li catalog.Instance) *endpoint {
+func (re *Tracker) ensure(li catalog.Instance) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep != nil && ep.incarnation.Differs(li.Incarnation) {
 		if li.Incarnation < ep.incarnation {
@@ -173,7 +173,7 @@
 
 // find returns the state of an endpoint instance, or nil if there is none. State that was
 // recorded without an incarnation is assigned to the first incarnation that is looked up.
-func (re *Register) find(li catalog.Instance) *endpoint {
+func (re *Tracker) find(li catalog.Instance) *endpoint {
 	ep := re.endpoints[li.ID]
 	if ep == nil || ep.incarnation.Differs(li.Incarnation) {
 		return nil
@@ -185,7 +185,7 @@
 }
 
 // Accepts reports whether this daemon may send a request to the endpoint now.
-func (re *Register) Accepts(li catalog.Instance, now time.Time) bool {
+func (re *Tracker) Accepts(li catalog.Instance, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return true
 	}
@@ -197,7 +197,7 @@
 
 // RecordSent deducts a request that is being sent to the endpoint from this daemon's share of its
 // limit.
-func (re *Register) RecordSent(li catalog.Instance, now time.Time) {
+func (re *Tracker) RecordSent(li catalog.Instance, now time.Time) {
 	if re == nil || re.num.Load() == 0 {
 		return
 	}
@@ -211,7 +211,7 @@
 // WaitTime returns how long this daemon must wait before it may send a request to the endpoint.
 // The result is 0 or less if it may send now. The second value is false if no such time is known:
 // the endpoint is shutting down, or only other daemons send to it.
-func (re *Register) WaitTime(li catalog.Instance, now time.Time) (time.Duration, bool) {
+func (re *Tracker) WaitTime(li catalog.Instance, now time.Time) (time.Duration, bool) {
 	if re == nil || re.num.Load() == 0 {
 		return 0, true
 	}
@@ -226,7 +226,7 @@
 
 // SetLeaving records that the endpoint announced its shutdown at the given time, and reports
 // whether that was unknown before. The announcement holds for the rest of the incarnation.
-func (re *Register) SetLeaving(li catalog.Instance, at time.Time) bool {
+func (re *Tracker) SetLeaving(li catalog.Instance, at time.Time) bool {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	ep := re.ensure(li)
@@ -244,7 +244,7 @@
 }
 
 // Leaving reports whether the endpoint has announced its shutdown.
-func (re *Register) Leaving(li catalog.Instance) bool {
+func (re *Tracker) Leaving(li catalog.Instance) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
 	}
@@ -256,7 +256,7 @@
 
 // NumBackingOff returns the number of endpoints to which this daemon sends nothing because it backs
 // off after a refusal.
-func (re *Register) NumBackingOff(now time.Time) int {
+func (re *Tracker) NumBackingOff(now time.Time) int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
@@ -270,7 +270,7 @@
 
 // Restricted reports whether the endpoint has a limit, sheds load or is shutting down, so that at
 // most a few daemons send to it now.
-func (re *Register) Restricted(li catalog.Instance, now time.Time) bool {
+func (re *Tracker) Restricted(li catalog.Instance, now time.Time) bool {
 	if re == nil || re.num.Load() == 0 {
 		return false
 	}
@@ -281,7 +281,7 @@
 }
 
 // NumLimited returns the number of endpoints with an announced limit.
-func (re *Register) NumLimited() int {
+func (re *Tracker) NumLimited() int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	num := 0
@@ -296,7 +296,7 @@
 // SetDaemons sets the daemons that share limits: own is the address of this daemon, accepting
 // lists the addresses of all daemons that accept requests, including this one if it does, and
 // known is the number of daemons that are known, reachable or not.
-func (re *Register) SetDaemons(own string, accepting []string, known int, now time.Time) {
+func (re *Tracker) SetDaemons(own string, accepting []string, known int, now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.daemons = daemons{own, accepting, known}
@@ -311,7 +311,7 @@
 }
 
 // Sweep deletes the state of endpoints that no response has refreshed for the retention period.
-func (re *Register) Sweep(now time.Time) {
+func (re *Tracker) Sweep(now time.Time) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	for id, ep := range re.endpoints {
--- a/internal/core/catalog/change_test.go
+++ b/internal/core/catalog/change_test.go
@@ -23,7 +23,7 @@
 			case 0:
 				continue
 			case 1:
-				gr.Leaving = !gr.Leaving
+				gr.Draining = !gr.Draining
 			}
 			next.Groups = append(next.Groups, gr)
 		}
--- a/internal/core/catalog/config.go
+++ b/internal/core/catalog/config.go
@@ -104,8 +104,8 @@
 	// requests are decoding.
 	Stride int
 	Models []Model
-	// Step is the base time of a decode step, without any requests.
-	Step time.Duration
+	// StepTime is the base time of a decode step, without any requests.
+	StepTime time.Duration
 	// StepPerRequest is added to a step for each decoding request.
 	StepPerRequest time.Duration
 	// StepPerKContext is added to a step for each 1,000 tokens of a decoding
@@ -144,9 +144,9 @@
 	Share float64
 	// Pace is the factor by which all times of a group are multiplied.
 	Pace float64
-	// Load is the time to fetch the weights, Warm the time to load them if the
+	// LoadTime is the time to fetch the weights, WarmLoadTime the time to load them if the
 	// host already has them.
-	Load, Warm time.Duration
+	LoadTime, WarmLoadTime time.Duration
 }
 
 // minPace is the lower bound of a pace. It also applies where no pace is set.
--- a/internal/core/catalog/demand.go
+++ b/internal/core/catalog/demand.go
@@ -32,7 +32,7 @@
 	pairs := prompt * prompt / requests / 2
 	prefill += pairs / 1e6 * en.TimePerMillionPairs.Seconds()
 	perToken := en.StepPerRequest.Seconds() + context/1000*en.StepPerKContext.Seconds()
-	perToken += en.Step.Seconds() / max(1, en.concurrency(context))
+	perToken += en.StepTime.Seconds() / max(1, en.concurrency(context))
 	return mo.TimeFactor() * (prefill + answer*perToken)
 }
 
--- a/internal/core/catalog/demand_test.go
+++ b/internal/core/catalog/demand_test.go
@@ -9,7 +9,7 @@
 // Guards against a demand figure that omits part of a request's cost: the
 // figure is compared with an engine that works in passes with all slots taken.
 func TestDemandGroups(t *testing.T) {
-	en := &Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, Step: 6450 * time.Microsecond, StepPerRequest: 97 * time.Microsecond,
+	en := &Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, StepTime: 6450 * time.Microsecond, StepPerRequest: 97 * time.Microsecond,
 		StepPerKContext: 3 * time.Microsecond, PrefillPerSecond: 56_100}
 	tests := []struct {
 		name           string
@@ -39,7 +39,7 @@
 // slots taken completes.
 func passRate(en *Engine, pace, prompt, answer float64) float64 {
 	running := math.Min(float64(en.Slots), float64(en.KVTokens)/(prompt+answer/2))
-	step := en.Step.Seconds() + running*(en.StepPerRequest.Seconds()+(prompt+answer/2)/1000*en.StepPerKContext.Seconds())
+	step := en.StepTime.Seconds() + running*(en.StepPerRequest.Seconds()+(prompt+answer/2)/1000*en.StepPerKContext.Seconds())
 	ended := running * float64(en.Stride) / answer
 	pass := step*float64(en.Stride) + ended*prompt/en.PrefillPerSecond
 	return ended / (pass * pace)
--- a/internal/core/catalog/entries.go
+++ b/internal/core/catalog/entries.go
@@ -30,7 +30,7 @@
 // leader is registered, is not leaving and reports no other group or state, and
 // no member has restarted.
 func (gr *Group) stillOpen(endpoints map[string]Endpoint) bool {
-	leader, ok := endpoints[gr.Head().ID]
+	leader, ok := endpoints[gr.Leader().ID]
 	if !ok || leader.Leaving {
 		return false
 	}
@@ -85,7 +85,7 @@
 			continue
 		}
 		gr.Members[mb.Rank] = Member{ID: ep.ID, Address: ep.Address, Incarnation: ep.Incarnation}
-		gr.Leaving = gr.Leaving || ep.Leaving
+		gr.Draining = gr.Draining || ep.Leaving
 		found++
 	}
 	return gr, found == mo.Size
--- a/internal/core/catalog/order.go
+++ b/internal/core/catalog/order.go
@@ -43,9 +43,9 @@
 func (Leave) isOrder()      {}
 func (Stage) isOrder()      {}
 
-// Summary describes an order for logs. It omits the members of a group, of
+// OrderSummary describes an order for logs. It omits the members of a group, of
 // which there can be 32; they are logged once, when the group is formed.
-func Summary(order Order) string {
+func OrderSummary(order Order) string {
 	switch od := order.(type) {
 	case Join:
 		return "join " + od.Group + " with " + od.Model
--- a/internal/core/catalog/view.go
+++ b/internal/core/catalog/view.go
@@ -40,14 +40,14 @@
 	Model      string   `json:"model"`
 	DataCenter string   `json:"data-center"`
 	Members    []Member `json:"members"`
-	// Leaving groups finish the requests that they have and accept no new ones.
-	Leaving bool `json:"leaving,omitempty"`
+	// Draining groups finish the requests that they have and accept no new ones.
+	Draining bool `json:"leaving,omitempty"`
 	// Slowness is that of the slowest member.
 	Slowness float64 `json:"slowness,omitempty"`
 }
 
-// Head returns the member that accepts the requests.
-func (gr *Group) Head() Member { return gr.Members[0] }
+// Leader returns the member that accepts the requests.
+func (gr *Group) Leader() Member { return gr.Members[0] }
 
 // Member is an endpoint of a group. Members are listed in order of rank.
 type Member struct {
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -136,14 +136,14 @@
 	Outcome     *Outcome `cbor:"6,keyasint,omitempty"`
 }
 
-// Answer is the result code of an operation.
-type Answer uint8
+// ResultCode is the result code of an operation.
+type ResultCode uint8
 
 // Results of an operation.
 const (
 	// Granted means that the caller holds the claim and may dispatch the
 	// request once.
-	Granted Answer = iota + 1
+	Granted ResultCode = iota + 1
 	// Duplicate means that another attempt, which may have run, holds the
 	// claim.
 	Duplicate
@@ -161,10 +161,10 @@
 	Unavailable
 )
 
-// Result is the result of an operation. Outcome is set if Answer is Finished.
+// Result holds the result code of an operation. Outcome is set if Code is Finished.
 type Result struct {
-	Answer  Answer   `cbor:"1,keyasint"`
-	Outcome *Outcome `cbor:"2,keyasint,omitempty"`
+	Code    ResultCode `cbor:"1,keyasint"`
+	Outcome *Outcome   `cbor:"2,keyasint,omitempty"`
 }
 
 // Lookup returns the result of an Acquire if the slice already holds the key.
@@ -174,15 +174,15 @@
 	case !ok:
 		return Result{}, false
 	case cl.Fingerprint != op.Fingerprint:
-		return Result{Answer: Mismatch}, true
+		return Result{Code: Mismatch}, true
 	case cl.State == Done:
-		return Result{Answer: Finished, Outcome: cl.Outcome}, true
+		return Result{Code: Finished, Outcome: cl.Outcome}, true
 	case cl.Holder == op.Holder:
 		// An earlier write of the same holder succeeded, but its response was
 		// lost.
-		return Result{Answer: Granted}, true
+		return Result{Code: Granted}, true
 	}
-	return Result{Answer: Duplicate}, true
+	return Result{Code: Duplicate}, true
 }
 
 // Apply executes a batch of operations on the slice in place. It returns one
@@ -213,21 +213,21 @@
 	case Release:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: NotFound}, false
+			return Result{Code: NotFound}, false
 		}
 		delete(sl.Claims, op.Hash)
-		return Result{Answer: Applied}, true
+		return Result{Code: Applied}, true
 	case Record:
 		cl, ok := sl.Claims[op.Hash]
 		if !ok || cl.Holder != op.Holder || cl.State != Claimed {
-			return Result{Answer: NotFound}, false
+			return Result{Code: NotFound}, false
 		}
 		cl.State = Done
 		cl.Outcome = op.Outcome
 		sl.Claims[op.Hash] = cl
-		return Result{Answer: Applied}, true
+		return Result{Code: Applied}, true
 	}
-	return Result{Answer: Unavailable}, false
+	return Result{Code: Unavailable}, false
 }
 
 func (sl *Slice) acquire(op Op) (Result, bool) {
@@ -238,7 +238,7 @@
 		return Result{}, false
 	}
 	sl.Claims[op.Hash] = Claim{Holder: op.Holder, Fingerprint: op.Fingerprint, State: Claimed}
-	return Result{Answer: Granted}, true
+	return Result{Code: Granted}, true
 }
 
 // Encode returns the stored form of the slice.
--- a/internal/core/control/action.go
+++ b/internal/core/control/action.go
@@ -11,7 +11,7 @@
 // Probe requests a report from the engine on a VM.
 type Probe struct{ VM fleet.VM }
 
-// Pull requests a PullAnswer from a peer. Revision is the revision of this
+// Pull requests a PullResponse from a peer. Revision is the revision of this
 // daemon's own document; it lets the peer detect that its copy is missing or
 // out of date.
 type Pull struct {
--- a/internal/core/control/config.go
+++ b/internal/core/control/config.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// ConfigAnswer updates a peer from the revision it requested to the one of this
+// ConfigResponse updates a peer from the revision it requested to the one of this
 // daemon.
-type ConfigAnswer struct {
+type ConfigResponse struct {
 	// Known reports whether the responding daemon has a configuration.
 	Known bool `cbor:"1,keyasint"`
 	// Pieces hold the whole configuration if the recent entries do not reach
@@ -67,8 +67,8 @@
 // ConfigAfter returns the update for a peer that has the configuration up to
 // revision after. The error, if any, comes from encoding the whole
 // configuration.
-func (co *Core) ConfigAfter(after uint64) (ConfigAnswer, error) {
-	an := ConfigAnswer{Known: co.cfgKnown}
+func (co *Core) ConfigAfter(after uint64) (ConfigResponse, error) {
+	an := ConfigResponse{Known: co.cfgKnown}
 	if after >= co.cfg.Revision {
 		return an, nil
 	}
--- a/internal/core/control/event.go
+++ b/internal/core/control/event.go
@@ -41,9 +41,9 @@
 
 // Pulled is a peer's response to a Pull sent at SentAt.
 type Pulled struct {
-	Peer   string
-	SentAt time.Time
-	Answer PullAnswer
+	Peer     string
+	SentAt   time.Time
+	Response PullResponse
 }
 
 // PullFailed reports that a peer did not respond to a Pull.
@@ -82,12 +82,12 @@
 	Fence uint64
 }
 
-// ObservationsArrived is the result of PullObservations. Answer is nil if the
+// ObservationsArrived is the result of PullObservations. Response is nil if the
 // pull failed.
 type ObservationsArrived struct {
-	Daemon string
-	SentAt time.Time
-	Answer *ObservationsAnswer
+	Daemon   string
+	SentAt   time.Time
+	Response *ObservationsResponse
 }
 
 // LeaseAcquired reports that this daemon acquired the steward's lease. The lease
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -14,9 +14,9 @@
 	"corianderhub.dev/corianderhub/internal/core/permit"
 )
 
-// PullAnswer is a daemon's response to a pull. It is kept small because every
+// PullResponse is a daemon's response to a pull. It is kept small because every
 // daemon requests about pullFanout of them per Timing.Pull.
-type PullAnswer struct {
+type PullResponse struct {
 	// Name is the responding daemon, DocsHash the hash of its document table,
 	// and ConfigRevision the revision of its configuration, 0 if it has none.
 	Name           string        `cbor:"1,keyasint"`
@@ -25,7 +25,7 @@
 	Permits        []GroupDigest `cbor:"4,keyasint,omitempty"`
 }
 
-// GroupDigest is the evidence for one group in a PullAnswer. It is encoded as
+// GroupDigest is the evidence for one group in a PullResponse. It is encoded as
 // an array, in the order of its fields.
 type GroupDigest struct {
 	_ struct{} `cbor:",toarray"`
@@ -86,9 +86,9 @@
 }
 
 // PullAt returns the response to a pull that arrives at now.
-func (co *Core) PullAt(now time.Time) PullAnswer {
+func (co *Core) PullAt(now time.Time) PullResponse {
 	co.now = now
-	an := PullAnswer{Name: co.set.Name, DocsHash: co.docs.Hash()}
+	an := PullResponse{Name: co.set.Name, DocsHash: co.docs.Hash()}
 	if co.cfgKnown {
 		an.ConfigRevision = co.cfg.Revision
 	}
@@ -222,13 +222,13 @@
 func (co *Core) pulled(ev Pulled) {
 	delete(co.inFlight, keyPull+ev.Peer)
 	delete(co.pullFailures, ev.Peer)
-	for _, gd := range ev.Answer.Permits {
+	for _, gd := range ev.Response.Permits {
 		co.addDigest(gd, ev)
 	}
-	if ev.Answer.DocsHash != co.docs.Hash() {
+	if ev.Response.DocsHash != co.docs.Hash() {
 		co.emitOnce(keyDocs+ev.Peer, FetchDocs{Peer: ev.Peer, Have: co.docs.Revisions()})
 	}
-	if ev.Answer.ConfigRevision > co.cfg.Revision || (!co.cfgKnown && ev.Answer.ConfigRevision > 0) {
+	if ev.Response.ConfigRevision > co.cfg.Revision || (!co.cfgKnown && ev.Response.ConfigRevision > 0) {
 		co.emitOnce(SourcePeerConfig, FetchConfig{Peer: ev.Peer, After: co.cfg.Revision})
 	}
 }
--- a/internal/core/control/probers.go
+++ b/internal/core/control/probers.go
@@ -19,7 +19,7 @@
 
 // proberState holds the observations received from one daemon.
 type proberState struct {
-	// boot and change are ObservationsAnswer.Boot and Change of the last response,
+	// boot and change are ObservationsResponse.Boot and Change of the last response,
 	// at is when its pull was sent, and vms holds the observations by VM name.
 	boot   int64
 	change uint64
@@ -51,13 +51,13 @@
 
 func (co *Core) observationsArrived(ev ObservationsArrived) {
 	delete(co.inFlight, keyObservations+ev.Daemon)
-	if ev.Answer != nil && co.steward.role != follower {
-		co.applyObservations(ev.Daemon, ev.SentAt, *ev.Answer)
+	if ev.Response != nil && co.steward.role != follower {
+		co.applyObservations(ev.Daemon, ev.SentAt, *ev.Response)
 	}
 }
 
 // applyObservations merges a daemon's response into its proberState.
-func (co *Core) applyObservations(daemon string, sentAt time.Time, an ObservationsAnswer) {
+func (co *Core) applyObservations(daemon string, sentAt time.Time, an ObservationsResponse) {
 	so := co.proberStateOf(daemon)
 	restarted := an.Boot != so.boot
 	if restarted || an.Full {
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -330,9 +330,9 @@
 	co.permits.Add(permit.Evidence{Group: gr.ID, Fence: ev.Fence, Leader: ev.Leader, At: ev.SentAt, Load: pe.Load})
 }
 
-// ObservationsAnswer is the response to PullObservations: the observations that
+// ObservationsResponse is the response to PullObservations: the observations that
 // have changed since the last pull.
-type ObservationsAnswer struct {
+type ObservationsResponse struct {
 	// Boot identifies the run of the responding daemon.
 	Boot int64 `cbor:"1,keyasint"`
 	// Change is the change number from which the next pull continues.
@@ -359,9 +359,9 @@
 
 // ObservationsAt returns the observations changed after change number since, or
 // all of them if since is 0, for a pull that arrives at now.
-func (co *Core) ObservationsAt(now time.Time, since uint64) ObservationsAnswer {
+func (co *Core) ObservationsAt(now time.Time, since uint64) ObservationsResponse {
 	co.now = now
-	an := ObservationsAnswer{Boot: co.started.UnixNano(), Change: co.changeSeq, Full: since == 0}
+	an := ObservationsResponse{Boot: co.started.UnixNano(), Change: co.changeSeq, Full: since == 0}
 	for _, vm := range sortedKeys(co.observations) {
 		si := co.observations[vm]
 		if si.changeSeq > since {
--- a/internal/core/control/simulation_test.go
+++ b/internal/core/control/simulation_test.go
@@ -283,7 +283,7 @@
 		w.callDaemon(no, ac.Peer, control.PullFailed{Peer: ac.Peer}, func(co *control.Core) control.Event {
 			other := w.daemons[ac.Peer]
 			w.deliver(other, other.incarnation, control.PullReceived{Peer: no.name, Revision: ac.Revision})
-			return control.Pulled{Peer: ac.Peer, SentAt: now, Answer: co.PullAt(w.clock.Now())}
+			return control.Pulled{Peer: ac.Peer, SentAt: now, Response: co.PullAt(w.clock.Now())}
 		})
 	case control.FetchDocs:
 		w.callDaemon(no, ac.Peer, control.DocsArrived{Peer: ac.Peer}, func(co *control.Core) control.Event {
@@ -313,7 +313,7 @@
 	case control.PullObservations:
 		w.callDaemon(no, ac.Peer, control.ObservationsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
 			an := co.ObservationsAt(w.clock.Now(), ac.Since)
-			return control.ObservationsArrived{Daemon: ac.Daemon, SentAt: now, Answer: &an}
+			return control.ObservationsArrived{Daemon: ac.Daemon, SentAt: now, Response: &an}
 		})
 	case control.SendOrder:
 		w.order(no, ac)
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -13,7 +13,7 @@
 var begin = time.Unix(1000, 0)
 
 func engine() *catalog.Engine {
-	return &catalog.Engine{Slots: 26, Stride: 7, Step: 5950 * time.Microsecond, StepPerRequest: 44500 * time.Nanosecond,
+	return &catalog.Engine{Slots: 26, Stride: 7, StepTime: 5950 * time.Microsecond, StepPerRequest: 44500 * time.Nanosecond,
 		StepPerKContext: 8130 * time.Nanosecond, PrefillPerSecond: 50700, FormTime: 300 * time.Millisecond, MeanAnswer: 178,
 		Models: []catalog.Model{{Name: "large", Size: 2, Pace: 1}, {Name: "small", Size: 2, Pace: 0.6}}}
 }
@@ -48,11 +48,11 @@
 	if empty.FirstEvent < 55*time.Millisecond || empty.FirstEvent > 70*time.Millisecond {
 		t.Errorf("empty group: first event after %v, want 55 to 70 ms", empty.FirstEvent)
 	}
-	busy := predict(en, en.Models[0], 1, Load{Requests: 20, Context: 20000, Prefill: 3000}, 1000)
+	busy := predict(en, en.Models[0], 1, Load{Requests: 20, ContextTokens: 20000, PrefillTokens: 3000}, 1000)
 	if busy.FirstEvent <= empty.FirstEvent || busy.Pass <= empty.Pass || busy.Full {
 		t.Errorf("busy group: %+v, want slower than the empty one: %+v", busy, empty)
 	}
-	if full := predict(en, en.Models[0], 1, Load{Requests: 26, Context: 20000, Prefill: 3000}, 1000); !full.Full || full.FirstEvent <= busy.FirstEvent {
+	if full := predict(en, en.Models[0], 1, Load{Requests: 26, ContextTokens: 20000, PrefillTokens: 3000}, 1000); !full.Full || full.FirstEvent <= busy.FirstEvent {
 		t.Errorf("full group: %+v, want full and slower than the busy one", full)
 	}
 	if slow := predict(en, en.Models[0], 4, Load{}, 1000); slow.FirstEvent < 3*empty.FirstEvent {
@@ -90,7 +90,7 @@
 // and is discarded when their reports stop.
 func TestPeerLoadCounts(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, Context: 30000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, ContextTokens: 30000}}}, begin)
 	for range 5 {
 		if ch, _ := ta.Pick(testRequest(), ignore, begin); ch.Group == nil || ch.Group.Name != "b" {
 			t.Fatalf("picked %v, want b: the other daemon has filled group a", ch.Group)
@@ -170,7 +170,7 @@
 // members have responded.
 func TestSlowFirstEventIsNoStall(t *testing.T) {
 	ta := table(group("a", "here"))
-	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, Context: 30000, Prefill: 9000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, ContextTokens: 30000, PrefillTokens: 9000}}}, begin)
 	ne := testRequest()
 	ne.Objective, ne.MaxPause = time.Second, time.Second
 	if _, ti := ta.Pick(ne, ignore, begin); ti == nil {
@@ -198,7 +198,7 @@
 	ta.MarkUnreachable(ch.Group)
 	ti.End()
 	if got := ta.StalledGroups(begin); len(got) != 1 || got[0].Name != ch.Group.Name {
-		t.Errorf("groups to poll: %v, want %s", got, ch.Group.Name)
+		t.Errorf("groups to probe: %v, want %s", got, ch.Group.Name)
 	}
 	for range 10 {
 		other, ti := ta.Pick(testRequest(), ignore, begin)
@@ -209,7 +209,7 @@
 	}
 	ta.MarkHealthy(ch.Group.Name)
 	if got := ta.StalledGroups(begin.Add(time.Minute)); len(got) != 0 {
-		t.Errorf("groups to poll: %v, want none after all members have responded", got)
+		t.Errorf("groups to probe: %v, want none after all members have responded", got)
 	}
 	used := false
 	for range 40 {
@@ -222,7 +222,7 @@
 }
 
 // A group leaves the view while its streams emit events: they must finish. If they stall, they must
-// be canceled without polling the members.
+// be canceled without probing the members.
 func TestGroupLeavesView(t *testing.T) {
 	ta := table(group("a", "here"))
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -243,12 +243,12 @@
 func TestLoadIsReleased(t *testing.T) {
 	ta := table(group("a", "here"))
 	_, ti := ta.Pick(testRequest(), ignore, begin)
-	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Prefill: 1000}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, PrefillTokens: 1000}); got != want {
 		t.Errorf("before the first event: %+v, want %+v", got, want)
 	}
 	ti.Event(begin)
 	ti.Event(begin)
-	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Context: 1014}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, ContextTokens: 1014}); got != want {
 		t.Errorf("after two events: %+v, want %+v", got, want)
 	}
 	ti.End()
@@ -300,7 +300,7 @@
 // An endpoint accepts connections but fails all requests. Checks that it gets few requests while
 // another endpoint works.
 func TestFailingEndpointIsAvoided(t *testing.T) {
-	pl := &Plain{DataCenter: "here"}
+	pl := &PlainTable{DataCenter: "here"}
 	pl.Update(plainView("good", "bad"))
 	now := begin
 	picked := map[string]int{}
@@ -325,7 +325,7 @@
 // Guards against an endpoint that is avoided forever after failures because the others always have a
 // lower cost while there are few requests.
 func TestFailedEndpointIsRetried(t *testing.T) {
-	pl := &Plain{DataCenter: "here"}
+	pl := &PlainTable{DataCenter: "here"}
 	pl.Update(plainView("good", "bad"))
 	now, failures := begin, 0
 	for range 400 {
@@ -346,7 +346,7 @@
 
 // Checks that a leaving endpoint gets no new requests, even if it is the only one.
 func TestLeavingEndpoint(t *testing.T) {
-	pl := &Plain{}
+	pl := &PlainTable{}
 	vi := plainView("only")
 	vi.Plain[0].Leaving = true
 	pl.Update(vi)
@@ -372,7 +372,7 @@
 // restart under the same ID.
 func TestRestartedEndpointIsNotAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pl := &Plain{}
+	pl := &PlainTable{}
 	view := func(in catalog.Incarnation) *catalog.View {
 		return &catalog.View{Plain: []catalog.PlainEndpoint{{ID: "i-1", Service: "desk", Incarnation: in}, {ID: "i-2", Service: "desk", Incarnation: 1}}}
 	}
--- a/internal/core/dispatch/endpoints.go
+++ b/internal/core/dispatch/endpoints.go
@@ -31,13 +31,13 @@
 	latencyWeight = 0.2
 )
 
-// Plain holds the endpoints of the services without groups and selects among them. It is safe for
-// concurrent use.
-type Plain struct {
+// PlainTable holds the endpoints of the services without groups and selects among them. It is safe
+// for concurrent use.
+type PlainTable struct {
 	// DataCenter is the daemon's own data centre.
 	DataCenter string
 	// Backpressure holds the limits that endpoints report; nil means no limits.
-	Backpressure *backpressure.Register
+	Backpressure *backpressure.Tracker
 	mu           sync.Mutex
 	services     map[string][]*PlainEndpoint
 }
@@ -60,7 +60,7 @@
 
 // Update applies a view. Endpoints that remain keep their measurements. An endpoint with a new
 // incarnation has restarted and starts without any.
-func (pl *Plain) Update(vi *catalog.View) {
+func (pl *PlainTable) Update(vi *catalog.View) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	known := make(map[string]*PlainEndpoint)
@@ -83,7 +83,7 @@
 // Pick returns the endpoint of a service with the lowest cost and counts a request there. It returns
 // nil if no endpoint outside exclude accepts requests. The caller must end the request with
 // RecordResponse, RecordFailure or Release.
-func (pl *Plain) Pick(service string, exclude []*PlainEndpoint, now time.Time) *PlainEndpoint {
+func (pl *PlainTable) Pick(service string, exclude []*PlainEndpoint, now time.Time) *PlainEndpoint {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var best *PlainEndpoint
@@ -105,7 +105,7 @@
 
 // WaitTime returns the time until the first endpoint of a service is expected to accept a request if
 // the limits of all endpoints currently reject it, and 0 otherwise.
-func (pl *Plain) WaitTime(service string, now time.Time) time.Duration {
+func (pl *PlainTable) WaitTime(service string, now time.Time) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	var instances []catalog.Instance
@@ -119,7 +119,7 @@
 
 // cost returns the cost of sending a request to the endpoint, in waiting requests. The random term
 // spreads the requests of daemons with the same information.
-func (pl *Plain) cost(ep *PlainEndpoint, now time.Time) float64 {
+func (pl *PlainTable) cost(ep *PlainEndpoint, now time.Time) float64 {
 	co := float64(ep.openRequests) + ep.failureRate(now)*failurePenalty + float64(ep.latency)/float64(latencyUnit) + rand.Float64()
 	if ep.DataCenter != pl.DataCenter {
 		co += remotePenalty
@@ -139,7 +139,7 @@
 
 // RecordResponse records that an endpoint has responded after the given time. failed is set if the
 // response is itself a failure.
-func (pl *Plain) RecordResponse(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
+func (pl *PlainTable) RecordResponse(ep *PlainEndpoint, took time.Duration, failed bool, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
@@ -165,7 +165,7 @@
 
 // RecordFailure records that an endpoint gave no usable response. The endpoint is avoided for some
 // time.
-func (pl *Plain) RecordFailure(ep *PlainEndpoint, now time.Time) {
+func (pl *PlainTable) RecordFailure(ep *PlainEndpoint, now time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
@@ -175,14 +175,14 @@
 }
 
 // Release records that a request ended with no information about the endpoint.
-func (pl *Plain) Release(ep *PlainEndpoint) {
+func (pl *PlainTable) Release(ep *PlainEndpoint) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	ep.openRequests--
 }
 
 // Count returns the number of endpoints of a service in the view.
-func (pl *Plain) Count(service string) int {
+func (pl *PlainTable) Count(service string) int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	return len(pl.services[service])
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -33,7 +33,7 @@
 	// lastActivity is when the group last emitted an event, or got its first request after having
 	// none.
 	lastActivity time.Time
-	// checkedAt is when the group's members were last polled.
+	// checkedAt is when the group's members were last probed.
 	checkedAt time.Time
 	// streams holds the open requests of this daemon at the group.
 	streams map[*Ticket]struct{}
@@ -77,18 +77,18 @@
 		if ti.baseline > 0 {
 			ti.ta.residuals.observe(gr.Model, now.Sub(ti.sent)-ti.baseline)
 		}
-		gr.ownLoad.Prefill -= ti.load.Prefill
-		gr.ownLoad.Context += ti.load.Prefill
-		ti.load.Context = ti.load.Prefill
-		ti.load.Prefill = 0
+		gr.ownLoad.PrefillTokens -= ti.load.PrefillTokens
+		gr.ownLoad.ContextTokens += ti.load.PrefillTokens
+		ti.load.ContextTokens = ti.load.PrefillTokens
+		ti.load.PrefillTokens = 0
 	} else if !ti.lastEvent.IsZero() && !ti.done {
 		gr.observePause(now.Sub(ti.lastEvent))
 	}
 	ti.lastEvent = now
 	if !ti.done {
 		tokens := int64(gr.engine.Stride)
-		ti.load.Context += tokens
-		gr.ownLoad.Context += tokens
+		ti.load.ContextTokens += tokens
+		gr.ownLoad.ContextTokens += tokens
 	}
 }
 
@@ -135,7 +135,7 @@
 	ti.done = true
 	gr := ti.Group
 	gr.ownLoad.Requests--
-	gr.ownLoad.Prefill -= ti.load.Prefill
-	gr.ownLoad.Context -= ti.load.Context
+	gr.ownLoad.PrefillTokens -= ti.load.PrefillTokens
+	gr.ownLoad.ContextTokens -= ti.load.ContextTokens
 	delete(gr.streams, ti)
 }
--- a/internal/core/dispatch/limited_test.go
+++ b/internal/core/dispatch/limited_test.go
@@ -13,7 +13,7 @@
 // choice says when to retry.
 func TestLimitedGroup(t *testing.T) {
 	now := time.Unix(100, 0)
-	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
+	en := &catalog.Engine{Slots: 26, Stride: 7, StepTime: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
 		Models: []catalog.Model{{Name: "large", Size: 1, Pace: 1}}}
 	cfg := &catalog.Config{Services: map[string]catalog.Service{"engine": {Engine: en}}}
 	vi := &catalog.View{}
@@ -21,11 +21,11 @@
 		vi.Groups = append(vi.Groups, catalog.Group{Name: name, Service: "engine", Model: "large", Members: []catalog.Member{{ID: "head-" + name}}})
 	}
 	ne := Request{Service: "engine", Model: "large", Prompt: 100, Objective: time.Second, MaxPause: time.Second, MaxWait: time.Second}
-	reg := &backpressure.Register{}
-	ta := &Table{Backpressure: reg}
+	tracker := &backpressure.Tracker{}
+	ta := &Table{Backpressure: tracker}
 	ta.Update(vi, cfg, now)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Groups[0].Members[0].Instance(), limit, now, now)
+	tracker.SetLimit(vi.Groups[0].Members[0].Instance(), limit, now, now)
 	for range 10 {
 		ch, ti := ta.Pick(ne, nil, now)
 		if ti == nil || ch.Group.Name != "other" {
@@ -33,7 +33,7 @@
 		}
 		ti.End()
 	}
-	reg.SetLimit(vi.Groups[1].Members[0].Instance(), limit, now, now)
+	tracker.SetLimit(vi.Groups[1].Members[0].Instance(), limit, now, now)
 	ch, ti := ta.Pick(ne, nil, now)
 	if ti != nil || !ch.AllLimited || ch.RetryAfter <= 0 || ch.RetryAfter > 500*time.Millisecond {
 		t.Errorf("both groups limited: got %+v, want no ticket and a wait of up to 500 ms", ch)
@@ -47,17 +47,17 @@
 func TestLimitedPlainEndpoint(t *testing.T) {
 	now := time.Unix(100, 0)
 	vi := &catalog.View{Plain: []catalog.PlainEndpoint{{ID: "one", Service: "desk"}, {ID: "other", Service: "desk"}}}
-	reg := &backpressure.Register{}
-	pl := &Plain{Backpressure: reg}
+	tracker := &backpressure.Tracker{}
+	pl := &PlainTable{Backpressure: tracker}
 	pl.Update(vi)
 	limit := backpressure.Limit{PerSecond: 2, Named: true}
-	reg.SetLimit(vi.Plain[0].Instance(), limit, now, now)
+	tracker.SetLimit(vi.Plain[0].Instance(), limit, now, now)
 	for range 10 {
 		if ep := pl.Pick("desk", nil, now); ep == nil || ep.ID != "other" {
 			t.Fatalf("picked %+v, want endpoint other", ep)
 		}
 	}
-	reg.SetLimit(vi.Plain[1].Instance(), limit, now, now)
+	tracker.SetLimit(vi.Plain[1].Instance(), limit, now, now)
 	if ep := pl.Pick("desk", nil, now); ep != nil {
 		t.Errorf("both endpoints limited: picked %s, want none", ep.ID)
 	}
--- a/internal/core/dispatch/passsim_test.go
+++ b/internal/core/dispatch/passsim_test.go
@@ -76,7 +76,7 @@
 )
 
 func newPassSim(seed uint64, daemons, groups int) *passSim {
-	en := &catalog.Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, Step: 6450 * time.Microsecond, StepPerRequest: 96700 * time.Nanosecond,
+	en := &catalog.Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, StepTime: 6450 * time.Microsecond, StepPerRequest: 96700 * time.Nanosecond,
 		StepPerKContext: 2930 * time.Nanosecond, PrefillPerSecond: 56100, MeanAnswer: 150,
 		Models: []catalog.Model{{Name: "large", Size: 2, Pace: 0.6}}}
 	pw := &passSim{rnd: rand.New(rand.NewPCG(seed, 5)), now: begin, engine: en, model: en.Models[0],
--- a/internal/core/dispatch/predict.go
+++ b/internal/core/dispatch/predict.go
@@ -14,18 +14,18 @@
 type Load struct {
 	// Requests is the number of running and waiting requests.
 	Requests int `cbor:"1,keyasint,omitempty"`
-	// Prefill is the number of prompt tokens that are still to be prefilled.
-	Prefill int64 `cbor:"2,keyasint,omitempty"`
-	// Context is the number of tokens in the context of the decoding requests.
-	Context int64 `cbor:"3,keyasint,omitempty"`
+	// PrefillTokens is the number of prompt tokens that are still to be prefilled.
+	PrefillTokens int64 `cbor:"2,keyasint,omitempty"`
+	// ContextTokens is the number of tokens in the context of the decoding requests.
+	ContextTokens int64 `cbor:"3,keyasint,omitempty"`
 }
 
 func (lo Load) plus(other Load) Load {
-	return Load{lo.Requests + other.Requests, lo.Prefill + other.Prefill, lo.Context + other.Context}
+	return Load{lo.Requests + other.Requests, lo.PrefillTokens + other.PrefillTokens, lo.ContextTokens + other.ContextTokens}
 }
 
 func (lo Load) minus(other Load) Load {
-	return Load{lo.Requests - other.Requests, lo.Prefill - other.Prefill, lo.Context - other.Context}
+	return Load{lo.Requests - other.Requests, lo.PrefillTokens - other.PrefillTokens, lo.ContextTokens - other.ContextTokens}
 }
 
 // Prediction is the expected latency of a request at a group.
@@ -46,9 +46,9 @@
 // of the current pass, half of it on average, and for the whole next one.
 func predict(en *catalog.Engine, mo catalog.Model, slowness float64, lo Load, prompt int64) Prediction {
 	pace := mo.TimeFactor() * max(slowness, 1)
-	steps := passTime(en, lo.Requests+1, lo.Context+prompt)
-	prefill := prefillTime(en, lo.Prefill+prompt)
-	current := passTime(en, lo.Requests, lo.Context)
+	steps := passTime(en, lo.Requests+1, lo.ContextTokens+prompt)
+	prefill := prefillTime(en, lo.PrefillTokens+prompt)
+	current := passTime(en, lo.Requests, lo.ContextTokens)
 	pass := scale(steps+prefill, pace)
 	pr := Prediction{FirstEvent: scale(current, pace)/2 + pass, Pass: pass, Full: lo.Requests >= en.Slots}
 	if lo.Requests == 0 {
@@ -66,7 +66,7 @@
 
 // passTime returns the time of a stride of decode steps with that many decoding requests.
 func passTime(en *catalog.Engine, decoding int, context int64) time.Duration {
-	step := en.Step + time.Duration(decoding)*en.StepPerRequest + scale(en.StepPerKContext, float64(context)/1000)
+	step := en.StepTime + time.Duration(decoding)*en.StepPerRequest + scale(en.StepPerKContext, float64(context)/1000)
 	return step * time.Duration(en.Stride)
 }
 
@@ -81,5 +81,5 @@
 // answerTime returns the time to generate an answer of mean length under load lo.
 func answerTime(en *catalog.Engine, lo Load, pace float64) time.Duration {
 	passes := max(1, en.MeanAnswer/float64(en.Stride))
-	return scale(passTime(en, min(lo.Requests, en.Slots), lo.Context), pace*passes)
+	return scale(passTime(en, min(lo.Requests, en.Slots), lo.ContextTokens), pace*passes)
 }
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -17,12 +17,12 @@
 	// stallPasses is the same time in predicted passes, or in predicted times to the first event if
 	// none of this daemon's requests has emitted an event yet.
 	stallPasses = 2.5
-	// recheckInterval is the time between polls of the members of a group that stays stalled
+	// recheckInterval is the time between probes of the members of a group that stays stalled
 	// although all of them respond.
 	recheckInterval = 700 * time.Millisecond
 )
 
-// StalledGroups returns the groups whose members are to be polled now, because this daemon's
+// StalledGroups returns the groups whose members are to be probed now, because this daemon's
 // requests there have stalled or the leader is unreachable. Requests at stalled groups that have left
 // the view are canceled with ErrStalled, so that they continue at another group.
 func (ta *Table) StalledGroups(now time.Time) []catalog.Group {
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -18,7 +18,7 @@
 	// DataCenter is the daemon's own data centre.
 	DataCenter string
 	// Backpressure holds the limits that endpoints report; nil means no limits.
-	Backpressure *backpressure.Register
+	Backpressure *backpressure.Tracker
 	// Rand is the random source of selections; nil means a randomly seeded one.
 	Rand   *rand.Rand
 	mu     sync.Mutex
@@ -112,7 +112,7 @@
 			gr = &Group{Group: cg, lastActivity: now, streams: make(map[*Ticket]struct{})}
 			ta.groups[cg.Name] = gr
 		}
-		gr.draining, gr.reportedSlowness, gr.engine, gr.model, gr.inView = cg.Leaving, cg.Slowness, en, mo, true
+		gr.draining, gr.reportedSlowness, gr.engine, gr.model, gr.inView = cg.Draining, cg.Slowness, en, mo, true
 	}
 	for name, gr := range ta.groups {
 		if !gr.inView {
@@ -245,7 +245,7 @@
 		ca.weight = shares[i]
 		lo := ca.gr.ownLoad.plus(ca.gr.peerLoad)
 		lo.Requests = int(ca.running + shares[i]*concurrent/(concurrent+1))
-		lo.Prefill += int64(shares[i] * moving / (concurrent + 1) * float64(ne.Prompt))
+		lo.PrefillTokens += int64(shares[i] * moving / (concurrent + 1) * float64(ne.Prompt))
 		ca.Prediction = predict(ca.gr.engine, ca.gr.model, ca.gr.slowness(), lo, ne.Prompt)
 		ca.baseline = ca.FirstEvent
 		ca.FirstEvent += ta.residuals.forModel(ne.Model)
@@ -284,10 +284,10 @@
 
 // waitTime returns the time until the first of the endpoints is expected to accept a request. It
 // returns 0 if one accepts now, or if instances is empty.
-func waitTime(reg *backpressure.Register, instances []catalog.Instance, now time.Time) time.Duration {
+func waitTime(tracker *backpressure.Tracker, instances []catalog.Instance, now time.Time) time.Duration {
 	first := time.Duration(0)
 	for i, li := range instances {
-		wait, known := reg.WaitTime(li, now)
+		wait, known := tracker.WaitTime(li, now)
 		switch {
 		case !known:
 			wait = retryElsewhere
@@ -358,7 +358,7 @@
 func (ta *Table) start(ca candidate, ne Request, cancel context.CancelCauseFunc, now time.Time) *Ticket {
 	gr := ca.gr
 	ta.Backpressure.RecordSent(gr.leader(), now)
-	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, Prefill: ne.Prompt}, cancel: cancel, sent: now}
+	ti := &Ticket{Group: gr, ta: ta, load: Load{Requests: 1, PrefillTokens: ne.Prompt}, cancel: cancel, sent: now}
 	if gr.slowness() <= 1 && !ca.Full {
 		ti.baseline = ca.baseline
 	}
--- a/internal/core/intent/check.go
+++ b/internal/core/intent/check.go
@@ -19,37 +19,37 @@
 
 var nameRE = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Check returns all faults of the configuration, in the order of object IDs.
-func (cfg *Config) Check() []Fault {
-	var faults []Fault
+// Check returns all problems of the configuration, in the order of object IDs.
+func (cfg *Config) Check() []Problem {
+	var problems []Problem
 	for _, ob := range cfg.Objects() {
-		faults = append(faults, ob.check(cfg)...)
+		problems = append(problems, ob.check(cfg)...)
 	}
-	return faults
+	return problems
 }
 
-// CheckChange returns the faults of cfg with ch applied, and of deletes in ch
+// CheckChange returns the problems of cfg with ch applied, and of deletes in ch
 // that name no object.
-func (cfg *Config) CheckChange(ch Change) []Fault {
-	var faults []Fault
+func (cfg *Config) CheckChange(ch Change) []Problem {
+	var problems []Problem
 	for _, id := range ch.Deletes {
 		if !cfg.Has(id) {
-			faults = append(faults, Fault{ID: id, Key: "delete", Reason: "no such object"})
+			problems = append(problems, Problem{ID: id, Key: "delete", Reason: "no such object"})
 		}
 	}
-	return append(faults, cfg.With(ch, cfg.Revision).Check()...)
+	return append(problems, cfg.With(ch, cfg.Revision).Check()...)
 }
 
-// checker collects the faults of one object.
+// checker collects the problems of one object.
 type checker struct {
-	id     string
-	faults []Fault
+	id       string
+	problems []Problem
 }
 
-// require adds a fault unless ok holds.
+// require adds a problem unless ok holds.
 func (ck *checker) require(ok bool, key, reason string) {
 	if !ok {
-		ck.faults = append(ck.faults, Fault{ID: ck.id, Key: key, Reason: reason})
+		ck.problems = append(ck.problems, Problem{ID: ck.id, Key: key, Reason: reason})
 	}
 }
 
@@ -58,16 +58,16 @@
 		"must be 1 to "+strconv.Itoa(maxNameBytes)+" lower-case letters, digits, dots or dashes")
 }
 
-func (po Policy) check(*Config) []Fault {
+func (po Policy) check(*Config) []Problem {
 	ck := checker{id: po.ID()}
 	ck.require(po.DowntimeWeight >= 0, "downtime-weight", "must not be negative")
 	ck.require(po.StrandedWeight >= 0, "stranded-weight", "must not be negative")
 	ck.require(po.DowntimeWeight+po.StrandedWeight > 0, "downtime-weight", "one of the two weights must be above zero")
 	ck.require(po.LoadsPerMinute >= 0, "loads-per-minute", "must not be negative")
-	return ck.faults
+	return ck.problems
 }
 
-func (mo Model) check(*Config) []Fault {
+func (mo Model) check(*Config) []Problem {
 	ck := checker{id: mo.ID()}
 	ck.name(mo.Name)
 	ck.require(mo.Version != "", "version", "must not be empty")
@@ -79,10 +79,10 @@
 		ck.require(nameRE.MatchString(ad), "adapters", strconv.Quote(ad)+" is not a name")
 		ck.require(!slices.Contains(mo.Adapters[:i], ad), "adapters", strconv.Quote(ad)+" stands twice")
 	}
-	return ck.faults
+	return ck.problems
 }
 
-func (gr Group) check(cfg *Config) []Fault {
+func (gr Group) check(cfg *Config) []Problem {
 	ck := checker{id: gr.ID()}
 	ck.name(gr.Name)
 	_, ok := cfg.Models[gr.Model]
@@ -92,10 +92,10 @@
 	ck.require(gr.Spares >= 0 && gr.Spares <= MaxGroupVMs, "spares", "must be 0 to "+strconv.Itoa(MaxGroupVMs))
 	roles := []Role{RoleMixed, RolePrefill, RoleDecode}
 	ck.require(slices.Contains(roles, gr.Role), "role", "must be mixed, prefill or decode")
-	return ck.faults
+	return ck.problems
 }
 
-func (wo Workspace) check(cfg *Config) []Fault {
+func (wo Workspace) check(cfg *Config) []Problem {
 	ck := checker{id: wo.ID()}
 	ck.name(wo.Name)
 	ck.require(wo.Share > 0, "share", "must be above zero")
@@ -105,13 +105,13 @@
 		same := other.Name != wo.Name && strings.EqualFold(other.KeySHA256, wo.KeySHA256)
 		ck.require(!same, "key-sha256", "workspace "+strconv.Quote(other.Name)+" has the same key")
 	}
-	return ck.faults
+	return ck.problems
 }
 
 // reserved lists the path prefixes that the daemon serves itself.
 var reserved = []string{"/v1/", "/healthz", "/readyz", "/metrics"}
 
-func (en Endpoint) check(cfg *Config) []Fault {
+func (en Endpoint) check(cfg *Config) []Problem {
 	ck := checker{id: en.ID()}
 	ck.name(en.Name)
 	ck.require(strings.HasPrefix(en.Route, "/") && strings.HasSuffix(en.Route, "/") && len(en.Route) > 1, "route",
@@ -137,7 +137,7 @@
 		ck.require(ok, "not-repeatable", strconv.Quote(rule)+` is not "METHOD /path" below the route`)
 	}
 	ck.require(en.Timeout >= 0 && time.Duration(en.Timeout) <= time.Hour, "timeout", "must be 0s to 1h")
-	return ck.faults
+	return ck.problems
 }
 
 func isAddress(addr string) bool {
--- a/internal/core/intent/intent.go
+++ b/internal/core/intent/intent.go
@@ -46,7 +46,7 @@
 type Object interface {
 	// ID returns kind/name, the object's key in the configuration.
 	ID() string
-	check(cfg *Config) []Fault
+	check(cfg *Config) []Problem
 }
 
 // Policy holds the weights of competing objectives.
@@ -132,8 +132,8 @@
 // ID implements Object.
 func (en Endpoint) ID() string { return "endpoint/" + en.Name }
 
-// Fault is one reason for refusing a configuration.
-type Fault struct {
+// Problem is one reason for refusing a configuration.
+type Problem struct {
 	// ID is the object's ID, Key the field within the object.
 	ID, Key, Reason string
 }
--- a/internal/core/steward/groups_test.go
+++ b/internal/core/steward/groups_test.go
@@ -70,9 +70,9 @@
 		}},
 		{"cut head", func(si *simulation) {
 			gr := si.core.Groups()[0]
-			si.setUnreachable(gr.Head().ID, true)
+			si.setUnreachable(gr.Leader().ID, true)
 			si.runWithStallReports(3 * time.Second)
-			si.setUnreachable(gr.Head().ID, false)
+			si.setUnreachable(gr.Leader().ID, false)
 		}},
 		{"cut member", func(si *simulation) {
 			gr := si.core.Groups()[0]
@@ -160,7 +160,7 @@
 func (si *simulation) groupWithSpare() catalog.Group {
 	si.t.Helper()
 	for _, gr := range si.core.Groups() {
-		if si.core.replaceable(si.core.vms[gr.Head().ID], gr.Model) {
+		if si.core.replaceable(si.core.vms[gr.Leader().ID], gr.Model) {
 			return gr
 		}
 	}
@@ -286,7 +286,7 @@
 // leaderRegrouped reports whether the leader of a group serves in another one.
 func (si *simulation) leaderRegrouped(gr catalog.Group) bool {
 	return slices.ContainsFunc(si.core.Groups(), func(other catalog.Group) bool {
-		return other.Name != gr.Name && slices.ContainsFunc(other.Members, func(me catalog.Member) bool { return me.ID == gr.Head().ID })
+		return other.Name != gr.Name && slices.ContainsFunc(other.Members, func(me catalog.Member) bool { return me.ID == gr.Leader().ID })
 	})
 }
 
--- a/internal/core/steward/large_fleet_test.go
+++ b/internal/core/steward/large_fleet_test.go
@@ -11,8 +11,8 @@
 
 // bigModels have groups of 16 and 4 VMs. The tests use them in domains of 37 VMs.
 var bigModels = []catalog.Model{
-	{Name: "large", Size: 16, Pace: 1, Share: 0.57, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-	{Name: "small", Size: 4, Pace: 0.6, Share: 0.43, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+	{Name: "large", Size: 16, Pace: 1, Share: 0.57, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+	{Name: "small", Size: 4, Pace: 0.6, Share: 0.43, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 }
 
 // An empty fleet of 296 VMs forms groups of both sizes, and few VMs remain without a serving
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -13,8 +13,8 @@
 
 // wideModels have groups of 32 and 8 VMs. The tests use them in domains of 73 VMs.
 var wideModels = []catalog.Model{
-	{Name: "large", Size: 32, Pace: 1, Share: 0.5, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-	{Name: "small", Size: 8, Pace: 0.6, Share: 0.5, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+	{Name: "large", Size: 32, Pace: 1, Share: 0.5, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+	{Name: "small", Size: 8, Pace: 0.6, Share: 0.5, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 }
 
 // callCPUTime is the CPU time that a call costs the steward's machine. A connection, the
@@ -49,7 +49,7 @@
 	si.cpuPerCall = callCPUTime
 	leaders := make(map[string]bool)
 	for _, gr := range si.core.Groups() {
-		leaders[gr.Head().ID] = true
+		leaders[gr.Leader().ID] = true
 	}
 	before := si.core.Groups()
 	si.storeDown = true
--- a/internal/core/steward/outcomes.go
+++ b/internal/core/steward/outcomes.go
@@ -71,11 +71,11 @@
 	case !ok:
 		return pollInterval
 	case vm.ep.HasStaged(model):
-		return mo.Warm
+		return mo.WarmLoadTime
 	case co.InitialLoads:
-		return mo.Load / initialSpeedup
+		return mo.LoadTime / initialSpeedup
 	}
-	return mo.Load
+	return mo.LoadTime
 }
 
 // initialSpeedup is how much faster loads are before the first request.
--- a/internal/core/steward/rebalance_test.go
+++ b/internal/core/steward/rebalance_test.go
@@ -12,12 +12,12 @@
 // The test sets the callers' demand.
 func newDemandSimulation(t *testing.T, seed uint64) *simulation {
 	models := []catalog.Model{
-		{Name: "large", Size: 12, Pace: 1, Share: 0.5, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-		{Name: "small", Size: 6, Pace: 0.6, Share: 0.5, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+		{Name: "large", Size: 12, Pace: 1, Share: 0.5, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+		{Name: "small", Size: 6, Pace: 0.6, Share: 0.5, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 	}
 	si := newSimulationWith(t, seed, 3, 27, models)
 	en := si.cfg.Services["engine"].Engine
-	en.Slots, en.Stride, en.Step, en.StepPerRequest = 48, 5, 6450*time.Microsecond, 97*time.Microsecond
+	en.Slots, en.Stride, en.StepTime, en.StepPerRequest = 48, 5, 6450*time.Microsecond, 97*time.Microsecond
 	en.PrefillPerSecond, en.LoadsAtOnce, en.LoadsPerSecond = 56100, 20, 14
 	si.runInitialLoads(5 * time.Second)
 	return si
--- a/internal/core/steward/simulation_test.go
+++ b/internal/core/steward/simulation_test.go
@@ -62,15 +62,15 @@
 
 // simModels have groups of 4 and 3 VMs. The tests use them in domains of 9 VMs.
 var simModels = []catalog.Model{
-	{Name: "large", Size: 4, Pace: 1, Share: 0.57, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-	{Name: "small", Size: 3, Pace: 0.6, Share: 0.43, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+	{Name: "large", Size: 4, Pace: 1, Share: 0.57, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+	{Name: "small", Size: 3, Pace: 0.6, Share: 0.43, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 }
 
 // samePaceModels have equal paces, so that their weights are in the ratio of the configured
 // shares.
 var samePaceModels = []catalog.Model{
-	{Name: "large", Size: 4, Pace: 1, Share: 0.57, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-	{Name: "small", Size: 3, Pace: 1, Share: 0.43, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+	{Name: "large", Size: 4, Pace: 1, Share: 0.57, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+	{Name: "small", Size: 3, Pace: 1, Share: 0.43, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 }
 
 // newSimulation returns a simulation of a fleet with the given numbers of domains and of VMs in
@@ -132,8 +132,8 @@
 	si.execute(si.core.Step(si.now))
 	for _, gr := range si.core.Groups() {
 		// Requests go to the groups that the steward reports as serving.
-		if !gr.Leaving {
-			si.fleet.Serve(gr.Head().ID, si.now)
+		if !gr.Draining {
+			si.fleet.Serve(gr.Leader().ID, si.now)
 		}
 	}
 	if bad := si.fleet.Violations(); len(bad) > 0 {
@@ -185,7 +185,7 @@
 
 // reportStalls reports groups that are not running requests to the steward, as daemons do.
 func (si *simulation) reportStalls() {
-	leaders := si.fleet.OpenHeads(si.now)
+	leaders := si.fleet.OpenLeaders(si.now)
 	serving := make(map[string]bool)
 	for _, ids := range leaders {
 		for _, id := range ids {
@@ -193,7 +193,7 @@
 		}
 	}
 	for _, gr := range si.core.Groups() {
-		if !serving[gr.Head().ID] {
+		if !serving[gr.Leader().ID] {
 			si.core.HandleStallReport(gr.Name, gr.Epoch, false, si.now)
 		}
 	}
@@ -259,7 +259,7 @@
 
 // serving returns the number of groups of each model that serve.
 func (si *simulation) serving() (large, small int) {
-	leaders := si.fleet.OpenHeads(si.now)
+	leaders := si.fleet.OpenLeaders(si.now)
 	return len(leaders["large"]), len(leaders["small"])
 }
 
--- a/internal/daemon/act.go
+++ b/internal/daemon/act.go
@@ -88,7 +88,7 @@
 func (da *Daemon) pull(ctx context.Context, ac control.Pull) control.Event {
 	ev := control.Pulled{Peer: ac.Peer, SentAt: da.Clock.Now()}
 	req := peer.PullRequest{From: da.Settings.Listen.Peer, Revision: ac.Revision}
-	if err := da.node.Call(ctx, ac.Peer, req, &ev.Answer); err != nil {
+	if err := da.node.Call(ctx, ac.Peer, req, &ev.Response); err != nil {
 		return control.PullFailed{Peer: ac.Peer}
 	}
 	return ev
@@ -97,7 +97,7 @@
 func (da *Daemon) fetchDocs(ctx context.Context, ac control.FetchDocs) control.Event {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	var an peer.DocsAnswer
+	var an peer.DocsResponse
 	// A failed fetch returns no documents; the next pull requests them again.
 	_ = da.node.Call(ctx, ac.Peer, peer.DocsRequest{Have: ac.Have}, &an)
 	return control.DocsArrived{Peer: ac.Peer, Docs: an.Docs}
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	ev := control.ConfigArrived{Source: control.SourcePeerConfig}
-	var an control.ConfigAnswer
+	var an control.ConfigResponse
 	if err := da.node.Call(ctx, ac.Peer, peer.ConfigRequest{After: ac.After}, &an); err != nil {
 		return ev
 	}
@@ -155,16 +155,16 @@
 	for _, addr := range ac.Peers {
 		go func() {
 			// On a daemon that is not reached, the permit expires by time.
-			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.EmptyAnswer{})
+			_ = da.node.Call(ctx, addr, peer.RevokeRequest{Group: ac.Group, Fence: ac.Fence}, &peer.EmptyResponse{})
 		}()
 	}
 }
 
 func (da *Daemon) pullObservations(ctx context.Context, ac control.PullObservations) control.Event {
 	ev := control.ObservationsArrived{Daemon: ac.Daemon, SentAt: da.Clock.Now()}
-	var an control.ObservationsAnswer
+	var an control.ObservationsResponse
 	if err := da.node.Call(ctx, ac.Peer, peer.ObservationsRequest{Since: ac.Since}, &an); err == nil {
-		ev.Answer = &an
+		ev.Response = &an
 	}
 	return ev
 }
@@ -285,14 +285,14 @@
 		return da.claims.DoLocal(ctx, req.Op), nil
 	case peer.RevokeRequest:
 		da.loop.Post(control.Revoked{Group: req.Group, Fence: req.Fence})
-		return peer.EmptyAnswer{}, nil
+		return peer.EmptyResponse{}, nil
 	case peer.PullRequest:
 		if req.From != "" {
 			da.loop.Post(control.PullReceived{Peer: req.From, Revision: req.Revision})
 		}
 		da.loop.call(ctx, func() { answer = da.loop.core.PullAt(da.Clock.Now()) })
 	case peer.DocsRequest:
-		da.loop.call(ctx, func() { answer = peer.DocsAnswer{Docs: da.loop.core.Newer(req.Have)} })
+		da.loop.call(ctx, func() { answer = peer.DocsResponse{Docs: da.loop.core.Newer(req.Have)} })
 	case peer.ConfigRequest:
 		da.loop.call(ctx, func() { answer, err = da.loop.core.ConfigAfter(req.After) })
 	case peer.ObservationsRequest:
--- a/internal/daemon/answer_test.go
+++ b/internal/daemon/answer_test.go
@@ -123,7 +123,7 @@
 		return
 	}
 	for j := range 12 {
-		want.WriteString(standin.Word(`user"`+own+`"`, j))
+		want.WriteString(standin.Token(`user"`+own+`"`, j))
 	}
 	if got.String() != want.String() {
 		t.Errorf("%s: answer = %q, want %q", own, got.String(), want.String())
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -229,7 +229,7 @@
 			continue
 		}
 		wg.Go(func() {
-			var an control.PullAnswer
+			var an control.PullResponse
 			if da.node.Call(ctx, dm.Peer, peer.PullRequest{}, &an) == nil {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -296,7 +296,7 @@
 func expectedText(tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(standin.Word(`user"`+prompt+`"`, i))
+		text.WriteString(standin.Token(`user"`+prompt+`"`, i))
 	}
 	return text.String()
 }
--- a/internal/entry/act.go
+++ b/internal/entry/act.go
@@ -215,7 +215,7 @@
 	defer cancel()
 	metrics.GetOrCreateCounter("corianderhub_asks_total").Inc()
 	_, body, err := da.call(ctx, address, &http1.Request{Method: http.MethodGet, URI: platform.PathReport, Host: address,
-		Header: http.Header{platform.HeaderExpectEndpoint: {id}}, Fresh: fresh})
+		Header: http.Header{platform.HeaderExpectEndpoint: {id}}, NoReuse: fresh})
 	if err != nil {
 		return catalog.Report{}, err
 	}
@@ -247,7 +247,7 @@
 // command sends an order and passes its outcome to the steward's core.
 func (ct *control) command(ctx context.Context, core *steward.Core, term int64, cd steward.Command) {
 	out, status, err := ct.da.order(ctx, term, cd)
-	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.Summary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", errText(err))
+	ct.da.Log.Info("steward: ordered.", "term", term, "vm", cd.ID, "order", catalog.OrderSummary(cd.Order), "if-orders", cd.IfOrders, "status", status, "cause", errText(err))
 	ct.withCore(core, func(co *steward.Core, now time.Time) { co.HandleOutcome(cd, out, now) })
 }
 
@@ -263,7 +263,7 @@
 // status is 0 if there was no response.
 func (da *Daemon) order(ctx context.Context, term int64, cd steward.Command) (steward.Outcome, int, error) {
 	fence := int64(0)
-	if da.Settings.Bounds.Fencing {
+	if da.Settings.Bounds.ChecksFencing {
 		fence = term
 	}
 	body, err := platform.EncodeOrder(cd.Order, fence, cd.IfOrders)
--- a/internal/entry/beats.go
+++ b/internal/entry/beats.go
@@ -26,11 +26,11 @@
 	ct.heartbeatNumber++
 	set := ct.da.Settings
 	be := mesh.Heartbeat{IP: set.IP, Started: ct.da.started, Number: ct.heartbeatNumber, Name: set.Name, DataCenter: set.DataCenter,
-		Callers: set.Callers, Accepting: ct.da.accepting(), Age: ct.age(now), Served: ct.served || ct.da.front.Received() > 0,
+		Callers: set.Callers, Accepting: ct.da.accepting(), StateAge: ct.age(now), RequestReceived: ct.served || ct.da.front.Received() > 0,
 		Departed: ct.departed.recent(now, ct.stewardConfirmedAt(), ct.follows()), StallReports: ex.stallReports, ProgressReports: ex.progressReports, Change: ex.change,
 		MilliCPU: int(set.CPUShare * 1000), FollowsStore: ct.follows()}
 	if co := ct.da.config.Load(); co != nil {
-		be.Config = co.Revision
+		be.ConfigRevision = co.Revision
 	}
 	be.Leaving = ct.da.stopping.Load()
 	be.Uptime = now.Sub(ct.startedAt)
@@ -41,7 +41,7 @@
 	ct.lease.recordHeartbeat(ct.heartbeatNumber)
 	work := mesh.Work{Own: ct.da.table.OwnWork(now)}
 	if ct.lease.ready() {
-		be.Steward, be.Term, be.View = true, ct.lease.term, ct.lease.sequence
+		be.Steward, be.Term, be.ViewSequence = true, ct.lease.term, ct.lease.sequence
 		be.Unresponsive = ct.da.mesh.Unresponsive()
 		be.Healthy = ct.healthy.recent(now)
 		work.Except = func(ip string) dispatch.Work { return ct.da.table.WorkExcept(ip, now) }
@@ -61,7 +61,7 @@
 		ct.da.table.ApplyRelayedWork(be.Work, now)
 	case mesh.WorkNone:
 	}
-	ct.served = ct.served || be.Served
+	ct.served = ct.served || be.RequestReceived
 	ct.lease.recordPromise(be)
 	ct.applyDepartures(be.Departed, now)
 	if ct.lease.core != nil {
@@ -95,8 +95,8 @@
 	for _, su := range be.Healthy {
 		ct.da.table.MarkHealthy(su.Group)
 	}
-	ct.confirm(now.Add(-be.Age - heartbeatLatency))
-	if ct.stewardView == nil || be.Term > ct.stewardView.Term || be.Term == ct.stewardView.Term && be.View > ct.stewardView.Sequence {
+	ct.confirm(now.Add(-be.StateAge - heartbeatLatency))
+	if ct.stewardView == nil || be.Term > ct.stewardView.Term || be.Term == ct.stewardView.Term && be.ViewSequence > ct.stewardView.Sequence {
 		ct.applyViewUpdate(be)
 	}
 }
@@ -141,7 +141,7 @@
 // fetchNewerConfig fetches the sender's configuration if it is newer than this daemon's.
 func (ct *control) fetchNewerConfig(be mesh.Heartbeat) {
 	co := ct.da.config.Load()
-	if be.Config == 0 || co != nil && co.Revision >= be.Config {
+	if be.ConfigRevision == 0 || co != nil && co.Revision >= be.ConfigRevision {
 		return
 	}
 	ct.fetch("config", func(ctx context.Context) func() {
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -23,7 +23,7 @@
 	log := slog.New(slog.DiscardHandler)
 	da := &Daemon{Clock: cl, Log: log, work: context.Background(),
 		Settings:   platform.Settings{IP: "10.0.0.200", DataCenter: "dc-0", CPUShare: float64(power) / 1000},
-		quarantine: &quarantine.Ledger{}, backpressure: &backpressure.Register{},
+		quarantine: &quarantine.Ledger{}, backpressure: &backpressure.Tracker{},
 		mesh: &mesh.Mesh{Clock: cl, Log: log, IP: "10.0.0.200", DataCenter: "dc-0"}}
 	da.config.Store(&configuration{Config: &catalog.Config{Revision: 5}})
 	ct := newControl(da)
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -77,11 +77,11 @@
 	pool    *http1.Pool
 	front   *front.Server
 	table   *dispatch.Table
-	plain   *dispatch.Plain
+	plain   *dispatch.PlainTable
 	// quarantine records the requests that crash endpoints.
 	quarantine *quarantine.Ledger
 	// backpressure holds the limits and back-off times that endpoints have announced.
-	backpressure *backpressure.Register
+	backpressure *backpressure.Tracker
 	// config and view are the configuration and view used for traffic.
 	config atomic.Pointer[configuration]
 	view   atomic.Pointer[catalog.View]
@@ -142,9 +142,9 @@
 	set := da.Settings
 	da.store = platform.NewStore(set.Store.Address, storeTimeout)
 	da.pool = &http1.Pool{Clock: da.Clock, DialTimeout: dialTimeout}
-	da.backpressure = &backpressure.Register{}
+	da.backpressure = &backpressure.Tracker{}
 	da.table = &dispatch.Table{DataCenter: set.DataCenter, Backpressure: da.backpressure}
-	da.plain = &dispatch.Plain{DataCenter: set.DataCenter, Backpressure: da.backpressure}
+	da.plain = &dispatch.PlainTable{DataCenter: set.DataCenter, Backpressure: da.backpressure}
 	da.quarantine = &quarantine.Ledger{}
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(set.IP), Port: set.InternalPorts[0]})
 	if err != nil {
--- a/internal/entry/deputies.go
+++ b/internal/entry/deputies.go
@@ -69,12 +69,12 @@
 // The departures that the deputy has seen are part of the same heartbeat.
 func (ct *control) recordDeputy(be mesh.Heartbeat, now time.Time) {
 	co := ct.da.config.Load()
-	if !be.FollowsStore || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.Config {
+	if !be.FollowsStore || be.DataCenter != ct.da.Settings.DataCenter || co == nil || co.Revision < be.ConfigRevision {
 		return
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
-	if at := now.Add(-be.Age - heartbeatLatency); at.After(ct.deputyConfirmed) {
+	if at := now.Add(-be.StateAge - heartbeatLatency); at.After(ct.deputyConfirmed) {
 		ct.deputyConfirmed = at
 	}
 }
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -13,9 +13,9 @@
 // deputies as long as they report the store's current state and no newer configuration than
 // the daemon has.
 func TestDeputies(t *testing.T) {
-	fresh := mesh.Heartbeat{IP: "10.0.0.1", DataCenter: "dc-0", FollowsStore: true, Config: 5}
+	fresh := mesh.Heartbeat{IP: "10.0.0.1", DataCenter: "dc-0", FollowsStore: true, ConfigRevision: 5}
 	newer, elsewhere, idle := fresh, fresh, fresh
-	newer.Config, elsewhere.DataCenter, idle.FollowsStore = 6, "dc-1", false
+	newer.ConfigRevision, elsewhere.DataCenter, idle.FollowsStore = 6, "dc-1", false
 	tests := []struct {
 		name  string
 		power int
@@ -149,7 +149,7 @@
 // change while a steward is cut off from the store.
 func TestFollowersStopForDeputies(t *testing.T) {
 	ct, cl := newTestControl(192)
-	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
+	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.PlainTable{}
 	cl.Advance(time.Minute)
 	ct.receiveFromAll(1, mesh.Heartbeat{})
 	ct.stepFollowing(cl.Now())
@@ -157,7 +157,7 @@
 		t.Fatal("does not follow the store although no heartbeat was received")
 	}
 	ct.confirmed = cl.Now()
-	ct.recordDeputy(mesh.Heartbeat{IP: "10.0.0.2", DataCenter: "dc-0", FollowsStore: true, Config: 5}, cl.Now())
+	ct.recordDeputy(mesh.Heartbeat{IP: "10.0.0.2", DataCenter: "dc-0", FollowsStore: true, ConfigRevision: 5}, cl.Now())
 	ct.stepFollowing(cl.Now())
 	if ct.follows() {
 		t.Error("follows the store although a deputy does")
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -210,7 +210,7 @@
 		want = true
 	case age > staleAfter && (ct.isDeputy(now) || ct.deputyStaleness(now) > staleAfter+deputyTimeout):
 		want = true
-	case now.Sub(ct.lastStewardHeartbeat) < freshAfter && ct.steward.Age < freshAfter:
+	case now.Sub(ct.lastStewardHeartbeat) < freshAfter && ct.steward.StateAge < freshAfter:
 		want = false
 	case following && !ct.isDeputy(now) && now.Sub(ct.deputyConfirmedAt()) < freshAfter:
 		// A deputy was late once. Each daemon that keeps following the store in its place
--- a/internal/entry/gone.go
+++ b/internal/entry/gone.go
@@ -64,7 +64,7 @@
 // stewardConfirmedAt returns when the store last confirmed the steward's state.
 func (ct *control) stewardConfirmedAt() time.Time {
 	if ct.lease.core == nil && !ct.lastStewardHeartbeat.IsZero() {
-		return ct.lastStewardHeartbeat.Add(-ct.steward.Age)
+		return ct.lastStewardHeartbeat.Add(-ct.steward.StateAge)
 	}
 	ct.mu.Lock()
 	defer ct.mu.Unlock()
--- a/internal/entry/gone_test.go
+++ b/internal/entry/gone_test.go
@@ -52,7 +52,7 @@
 		ct, cl := newTestControl(800)
 		cl.Advance(tc.uptime)
 		ct.confirmed = cl.Now().Add(-tc.age)
-		ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
+		ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.PlainTable{}
 		ct.stewardView = &catalog.View{Term: 7, Plain: []catalog.PlainEndpoint{{ID: "desk-1", Service: "desk"}, {ID: "desk-2", Service: "desk"}},
 			Groups: []catalog.Group{{Name: "group-1", Members: []catalog.Member{{ID: "engine-1"}, {ID: "engine-2"}}}}}
 		entry := `{"service":"desk","address":"127.0.0.1:9","zone":"dc-0","slots":1,"state":"ready","sequence":1}`
@@ -81,14 +81,14 @@
 // daemon that starts later must get the departure too.
 func TestDepartureOutlastsStewardIsolation(t *testing.T) {
 	ct, cl := newTestControl(192)
-	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
+	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.PlainTable{}
 	ct.da.view.Store(&catalog.View{})
 	ct.stewardView = &catalog.View{Term: 7, Sequence: 1, Plain: []catalog.PlainEndpoint{{ID: "i-1", Service: "desk"}}}
 	cut := cl.Now()
 	cl.Advance(time.Second)
 	ct.applyDepartures([]catalog.Instance{{ID: "i-1"}}, cl.Now())
 	applySteward := func(confirmed time.Time) {
-		ct.steward, ct.lastStewardHeartbeat = mesh.Heartbeat{Term: 7, Age: cl.Now().Sub(confirmed)}, cl.Now()
+		ct.steward, ct.lastStewardHeartbeat = mesh.Heartbeat{Term: 7, StateAge: cl.Now().Sub(confirmed)}, cl.Now()
 		ct.departed.recent(cl.Now(), ct.stewardConfirmedAt(), false)
 		ct.updateView()
 	}
@@ -114,7 +114,7 @@
 // reappear after an outage.
 func TestDroppedEndpointStaysDropped(t *testing.T) {
 	ct, cl := newTestControl(192)
-	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
+	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.PlainTable{}
 	ct.da.view.Store(&catalog.View{})
 	for _, id := range []string{"i-1", "i-2"} {
 		ct.endpoints[id] = catalog.Endpoint{ID: id, Service: "desk", Revision: 4}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -196,7 +196,7 @@
 // ask sends a request to a daemon and returns the body of a 200 response, or a description
 // of any other result.
 func (sk *stack) ask(ru *testDaemon, path, id string) string {
-	return sk.askWith(ru, path, id, emulator.Key)
+	return sk.askWith(ru, path, id, emulator.APIKey)
 }
 
 // askWith is like ask with the given API key.
--- a/internal/entry/promise_test.go
+++ b/internal/entry/promise_test.go
@@ -68,7 +68,7 @@
 // the groups formed since.
 func TestFollowingBeginsWithTheLastView(t *testing.T) {
 	ct, cl := newTestControl(192)
-	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.Plain{}
+	ct.da.table, ct.da.plain = &dispatch.Table{}, &dispatch.PlainTable{}
 	ct.da.view.Store(&catalog.View{})
 	ct.revision, ct.haveAll = 3, false
 	ct.endpoints["i-old"] = catalog.Endpoint{ID: "i-old"}
--- a/internal/entry/quarantine.go
+++ b/internal/entry/quarantine.go
@@ -154,7 +154,7 @@
 // addQuarantine adds the quarantine digest and the current announcements to a heartbeat,
 // newest first, up to maxAnnouncedRequests.
 func (ct *control) addQuarantine(be *mesh.Heartbeat, now time.Time) {
-	be.Quarantine = ct.da.quarantine.Digest(now)
+	be.QuarantineDigest = ct.da.quarantine.Digest(now)
 	total := 0
 	for _, te := range slices.Backward(ct.quarantine.announcements) {
 		if now.After(te.until) {
@@ -180,7 +180,7 @@
 	for _, an := range be.Completions {
 		ct.da.quarantine.RecordCompletion(an, now)
 	}
-	if be.Quarantine == 0 || be.Quarantine == ct.da.quarantine.Digest(now) || now.Sub(ct.quarantine.fetchedAt) < fetchPause {
+	if be.QuarantineDigest == 0 || be.QuarantineDigest == ct.da.quarantine.Digest(now) || now.Sub(ct.quarantine.fetchedAt) < fetchPause {
 		return
 	}
 	ct.quarantine.fetchedAt = now
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -122,7 +122,7 @@
 // answers without crashing.
 func TestBrokenAnswerIsNoCrash(t *testing.T) {
 	ct, _ := newTestControl(800)
-	ct.da.front, ct.da.table, ct.da.plain = &front.Server{}, &dispatch.Table{}, &dispatch.Plain{}
+	ct.da.front, ct.da.table, ct.da.plain = &front.Server{}, &dispatch.Table{}, &dispatch.PlainTable{}
 	ct.da.Clock = clock.System{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/front/forward.go
+++ b/internal/front/forward.go
@@ -31,8 +31,8 @@
 }
 
 // endpointRequest returns the request to send to an endpoint. The endpoint refuses it unless
-// its ID is the expected one. fresh requires a new connection.
-func (ca *call) endpointRequest(endpoint string, fresh bool) *http1.Request {
+// its ID is the expected one. noReuse requires a new connection.
+func (ca *call) endpointRequest(endpoint string, noReuse bool) *http1.Request {
 	header := ca.req.Header.Clone()
 	removeHopHeaders(header)
 	for _, name := range reservedHeaders {
@@ -48,7 +48,7 @@
 	header.Set(platform.HeaderDeadline, strconv.FormatInt(max(1, ca.remaining().Milliseconds()), 10))
 	header.Set(platform.HeaderPriority, strconv.Itoa(ca.priority()))
 	return &http1.Request{Method: ca.req.Method, URI: ca.req.RequestURI, Host: ca.req.Host, Header: header,
-		Body: ca.body, IDHeader: platform.HeaderRequestID, Fresh: fresh, MaxIdle: ca.maxIdle}
+		Body: ca.body, IDHeader: platform.HeaderRequestID, NoReuse: noReuse, MaxIdle: ca.maxIdle}
 }
 
 // idleShare is the share of an endpoint's connection limit that all daemons together may use
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -32,7 +32,7 @@
 	log          bytes.Buffer
 	view         catalog.View
 	table        *dispatch.Table
-	plain        *dispatch.Plain
+	plain        *dispatch.PlainTable
 	plainServers []*emulator.Server
 	groupServers []*emulator.Server
 	// disconnects and completions are the events that the server reported.
@@ -64,9 +64,9 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	en := &catalog.Engine{Slots: 26, Stride: 7, Step: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
+	en := &catalog.Engine{Slots: 26, Stride: 7, StepTime: 6 * time.Millisecond, PrefillPerSecond: 50000, MeanAnswer: 100,
 		Models: []catalog.Model{{Name: "large", Size: 1, Pace: 1}}}
-	ri := &rig{t: t, table: &dispatch.Table{}, plain: &dispatch.Plain{}}
+	ri := &rig{t: t, table: &dispatch.Table{}, plain: &dispatch.PlainTable{}}
 	ri.cfg = &catalog.Config{Services: map[string]catalog.Service{"desk": {}, "engine": {Engine: en}},
 		Workspaces: []catalog.Workspace{{Name: "nursery", Keys: []string{"key-1"}, Priority: 3}},
 		Routes: []catalog.Route{
@@ -84,7 +84,7 @@
 	ri.front = &Server{Clock: clock.System{}, Log: slog.New(slog.NewTextHandler(&ri.log, nil)), Table: ri.table, Plain: ri.plain,
 		Config: func() *catalog.Config { return ri.cfg }, Stale: func() bool { return false }, OnMisrouted: func() {}, OnLeaving: func(catalog.Instance) {},
 		Quarantine: &quarantine.Ledger{}, OnDisconnect: ri.recordDisconnect, OnCompletion: ri.recordCompletion,
-		Backpressure: &backpressure.Register{},
+		Backpressure: &backpressure.Tracker{},
 		Pool:         &http1.Pool{Clock: clock.System{}, DialTimeout: longTimeout},
 		Budget:       &dispatch.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}}
 	ri.hs = httptest.NewServer(ri.front)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -39,12 +39,12 @@
 	// Stale reports whether the configuration is too old to check keys against.
 	Stale func() bool
 	Table *dispatch.Table
-	Plain *dispatch.Plain
+	Plain *dispatch.PlainTable
 	Pool  *http1.Pool
 	// Budget bounds the retries for each service.
 	Budget *dispatch.Budget
 	// Backpressure holds the rate limits, back-off times and announced shutdowns of endpoints.
-	Backpressure *backpressure.Register
+	Backpressure *backpressure.Tracker
 	// OnMisrouted is called when an endpoint refuses a request that was meant for another one.
 	OnMisrouted func()
 	// OnLeaving is called when an endpoint has announced its shutdown in a response.
@@ -171,7 +171,7 @@
 	if !ca.needsKey {
 		return nil
 	}
-	key, _ := platform.Key(ca.req.Header)
+	key, _ := platform.APIKey(ca.req.Header)
 	ca.workspace = cfg.Workspace(key)
 	if ca.workspace == nil && !ca.route.Public {
 		return &refusal{status: http.StatusUnauthorized, reason: "unknown-key"}
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -116,7 +116,7 @@
 	st.choice = ch
 	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
-	leader := ch.Group.Head()
+	leader := ch.Group.Leader()
 	ex, err := st.sv.Pool.Send(attemptCtx, leader.Address, st.groupRequest(leader.ID))
 	if err == nil || http1.VerdictOf(err) != verdict.NotRun {
 		st.sends++
@@ -317,7 +317,7 @@
 			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It is idle but refuses requests, so it would look best again.
-			leader := gr.Head()
+			leader := gr.Leader()
 			st.sv.Backpressure.SetRefused(leader.Instance(), sent, st.sv.Clock.Now())
 		}
 		st.log.Info("front: group refused.", "group", gr.Name, "status", an.status)
@@ -345,7 +345,7 @@
 		st.state = verdict.MayHaveRun
 	}
 	st.cause = err
-	st.reportDisconnect(ctx, gr.Head().ID, gr.Head().Address, err)
+	st.reportDisconnect(ctx, gr.Leader().ID, gr.Leader().Address, err)
 	st.log.Info("front: attempt failed.", "group", gr.Name, "events", st.events, "cause", err.Error())
 }
 
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -68,9 +68,9 @@
 	// IDHeader names the header that endpoints echo. A response with another value
 	// belongs to another request. If IDHeader is empty, any response is accepted.
 	IDHeader string
-	// Fresh requires a new connection. An endpoint may close a reused one while the
+	// NoReuse requires a new connection. An endpoint may close a reused one while the
 	// request is being sent, and whether it read the request is then unknown.
-	Fresh bool
+	NoReuse bool
 	// MaxIdle bounds the idle connections kept to the address. 0 means the pool's own
 	// limit; NoIdle closes the connection after the exchange.
 	MaxIdle int
@@ -98,7 +98,7 @@
 // connection, also while the body is being read. A failure is returned as *Error, with the
 // verdict NotRun only if no connection could be opened.
 func (po *Pool) Send(ctx context.Context, addr string, rq *Request) (*Exchange, error) {
-	cn, err := po.get(ctx, addr, rq.Fresh)
+	cn, err := po.get(ctx, addr, rq.NoReuse)
 	if err != nil {
 		return nil, &Error{Verdict: verdict.NotRun, ConnectFailed: true, Err: err}
 	}
--- a/internal/http1/exchange_test.go
+++ b/internal/http1/exchange_test.go
@@ -168,7 +168,7 @@
 		po := newPool()
 		for range 2 {
 			rq := request("1")
-			rq.Fresh, rq.MaxIdle = true, tc.maxIdle
+			rq.NoReuse, rq.MaxIdle = true, tc.maxIdle
 			if _, err := send(t, po, sv, rq); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -57,10 +57,10 @@
 // Dials returns the number of connections that the pool has tried to open.
 func (po *Pool) Dials() int64 { return po.dials.Load() }
 
-// get returns an idle connection that is still usable, or a new one if there is none or fresh
+// get returns an idle connection that is still usable, or a new one if there is none or noReuse
 // is set.
-func (po *Pool) get(ctx context.Context, addr string, fresh bool) (*conn, error) {
-	for !fresh {
+func (po *Pool) get(ctx context.Context, addr string, noReuse bool) (*conn, error) {
+	for !noReuse {
 		cn := po.takeIdle(addr)
 		if cn == nil {
 			break
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -44,16 +44,16 @@
 	// that lease.
 	Steward bool  `cbor:"8,keyasint,omitempty"`
 	Term    int64 `cbor:"9,keyasint,omitempty"`
-	// View is the sequence number of the steward's current view within the term.
-	View int64 `cbor:"10,keyasint,omitempty"`
-	// Config is the store's revision of the configuration in force, 0 for none.
-	Config int64 `cbor:"11,keyasint,omitempty"`
-	// Age is the time since the store last confirmed the daemon's copy of the stored
+	// ViewSequence is the sequence number of the steward's current view within the term.
+	ViewSequence int64 `cbor:"10,keyasint,omitempty"`
+	// ConfigRevision is the store's revision of the configuration in force, 0 for none.
+	ConfigRevision int64 `cbor:"11,keyasint,omitempty"`
+	// StateAge is the time since the store last confirmed the daemon's copy of the stored
 	// state.
-	Age time.Duration `cbor:"12,keyasint,omitempty"`
-	// Served is set once any daemon, as far as the sender knows, has received a request
+	StateAge time.Duration `cbor:"12,keyasint,omitempty"`
+	// RequestReceived is set once any daemon, as far as the sender knows, has received a request
 	// from a caller.
-	Served bool `cbor:"13,keyasint,omitempty"`
+	RequestReceived bool `cbor:"13,keyasint,omitempty"`
 	// Work is the load that requests in flight put on groups. WorkOf says whose
 	// requests it counts.
 	Work   dispatch.Work `cbor:"27,keyasint,omitzero"`
@@ -84,8 +84,8 @@
 	// daemons, otherwise only to the steward, like Work.
 	Crashes     []quarantine.Crash      `cbor:"31,keyasint,omitempty"`
 	Completions []quarantine.Completion `cbor:"32,keyasint,omitempty"`
-	// Quarantine is the digest of the daemon's quarantined requests.
-	Quarantine uint64 `cbor:"33,keyasint,omitempty"`
+	// QuarantineDigest is the digest of the daemon's quarantined requests.
+	QuarantineDigest uint64 `cbor:"33,keyasint,omitempty"`
 	// Backpressure holds the notices of endpoints about how much load they accept. In
 	// direct mode they go to all daemons, otherwise to the steward, which forwards them
 	// to all.
--- a/internal/mesh/intervals_test.go
+++ b/internal/mesh/intervals_test.go
@@ -254,7 +254,7 @@
 // in flight, so with many daemons the report goes only to the steward.
 func TestCrashesSentOnlyToSteward(t *testing.T) {
 	be := Heartbeat{Crashes: []quarantine.Crash{{Endpoint: "s1", AtMillis: 5, Requests: []quarantine.Fingerprint{{1, 2}, {3}}}},
-		Completions: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, Quarantine: 7}
+		Completions: []quarantine.Completion{{Request: quarantine.Fingerprint{4}, AtMillis: 6}}, QuarantineDigest: 7}
 	for _, work := range []WorkOf{WorkOwn, WorkNone, WorkRelayed} {
 		en := heartbeatEncoder{be: be, wo: Work{Except: func(string) dispatch.Work { return dispatch.Work{} }}}
 		raw, err := en.datagram(recipientOf(0, work))
@@ -272,8 +272,8 @@
 		} else if len(got.Crashes)+len(got.Completions) != 0 {
 			t.Errorf("crashes or completions sent with work of %v", work)
 		}
-		if got.Quarantine != be.Quarantine {
-			t.Errorf("got quarantine digest %d with work of %v", got.Quarantine, work)
+		if got.QuarantineDigest != be.QuarantineDigest {
+			t.Errorf("got quarantine digest %d with work of %v", got.QuarantineDigest, work)
 		}
 	}
 }
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -134,7 +134,7 @@
 
 // ProblemsOf converts faults of the configuration to problems with positions in
 // the file, sorted by line.
-func (de *Declaration) ProblemsOf(faults []intent.Fault) []admin.Problem {
+func (de *Declaration) ProblemsOf(faults []intent.Problem) []admin.Problem {
 	var problems []admin.Problem
 	for _, fa := range faults {
 		pr := admin.Problem{File: de.file, Key: fa.ID + " " + fa.Key, Reason: fa.Reason}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -146,9 +146,9 @@
 	defer cancel()
 	cfg := se.State.View().Config
 	done, err := se.Chain.Apply(ctx, cfg, chainstore.ApplyRequest{Change: de.Change, Operation: ar.Operation, Operator: ar.Operator, Base: ar.Base})
-	var fe *chainstore.FaultsError
+	var fe *chainstore.InvalidConfigError
 	if errors.As(err, &fe) {
-		problems := de.ProblemsOf(fe.Faults)
+		problems := de.ProblemsOf(fe.Problems)
 		writeRefusal(w, errInvalidFile(), problems)
 		return
 	}
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -29,7 +29,7 @@
 )
 
 // PullRequest requests the daemon's document hash, configuration revision and permit
-// evidence. The response is control.PullAnswer.
+// evidence. The response is control.PullResponse.
 type PullRequest struct {
 	// From is the peer address of the requesting daemon, Revision the revision of its
 	// own document. Both are empty in requests for status pages.
@@ -38,29 +38,29 @@
 }
 
 // DocsRequest requests documents newer than those in Have, which maps document names
-// to revisions. The response is DocsAnswer.
+// to revisions. The response is DocsResponse.
 type DocsRequest struct {
 	Have map[string]uint64 `cbor:"1,keyasint"`
 }
 
-// DocsAnswer is the response to DocsRequest.
-type DocsAnswer struct {
+// DocsResponse is the response to DocsRequest.
+type DocsResponse struct {
 	Docs []gossip.Doc `cbor:"1,keyasint"`
 }
 
 // ConfigRequest requests the configuration after a revision. The response is
-// control.ConfigAnswer.
+// control.ConfigResponse.
 type ConfigRequest struct {
 	After uint64 `cbor:"1,keyasint"`
 }
 
 // ObservationsRequest requests the observations that changed after change number
-// Since. The response is control.ObservationsAnswer.
+// Since. The response is control.ObservationsResponse.
 type ObservationsRequest struct {
 	Since uint64 `cbor:"1,keyasint"`
 }
 
-// RevokeRequest announces that a group is not complete. The response is EmptyAnswer.
+// RevokeRequest announces that a group is not complete. The response is EmptyResponse.
 type RevokeRequest struct {
 	Group string `cbor:"1,keyasint"`
 	Fence uint64 `cbor:"2,keyasint"`
@@ -72,8 +72,8 @@
 	Op claim.Op `cbor:"1,keyasint"`
 }
 
-// EmptyAnswer is an empty response.
-type EmptyAnswer struct{}
+// EmptyResponse is an empty response.
+type EmptyResponse struct{}
 
 func (PullRequest) kind() kind         { return kindPull }
 func (DocsRequest) kind() kind         { return kindDocs }
--- a/internal/platform/chainstore/chainstore.go
+++ b/internal/platform/chainstore/chainstore.go
@@ -157,11 +157,11 @@
 	Snapshotted bool
 }
 
-// FaultsError is returned for an invalid change and lists its faults.
-type FaultsError struct{ Faults []intent.Fault }
+// InvalidConfigError is returned for an invalid change and lists its faults.
+type InvalidConfigError struct{ Problems []intent.Problem }
 
 // Error implements the error interface.
-func (fe *FaultsError) Error() string { return "the configuration is not valid" }
+func (fe *InvalidConfigError) Error() string { return "the configuration is not valid" }
 
 // Apply appends the change to the chain, atomically. An invalid change is refused with
 // FaultsError. Any other error is a verdict.Error, whose verdict says whether the
@@ -178,7 +178,7 @@
 		}
 		maybeWritten = maybeWritten || tried
 		var ve *verdict.Error
-		var fe *FaultsError
+		var fe *InvalidConfigError
 		if errors.As(err, &ve) || errors.As(err, &fe) {
 			return ApplyResult{}, err
 		}
@@ -216,7 +216,7 @@
 		return ApplyResult{}, false, err
 	}
 	if faults := current.CheckChange(ap.Change); len(faults) > 0 {
-		return ApplyResult{}, false, &FaultsError{Faults: faults}
+		return ApplyResult{}, false, &InvalidConfigError{Problems: faults}
 	}
 	next, snapshot, err := st.prepare(ctx, hd, current, ap)
 	if err != nil {
--- a/internal/platform/claims/book.go
+++ b/internal/platform/claims/book.go
@@ -46,7 +46,7 @@
 // not answer or answers claim.Unavailable.
 func (bo *Registry) Do(ctx context.Context, op claim.Op) claim.Result {
 	if addr := bo.Owner(op.Shard); addr != "" {
-		if res, err := bo.Forward(ctx, addr, op); err == nil && res.Answer != claim.Unavailable {
+		if res, err := bo.Forward(ctx, addr, op); err == nil && res.Code != claim.Unavailable {
 			return res
 		}
 	}
@@ -63,7 +63,7 @@
 	case res := <-wa.done:
 		return res
 	case <-ctx.Done():
-		return claim.Result{Answer: claim.Unavailable}
+		return claim.Result{Code: claim.Unavailable}
 	}
 }
 
@@ -73,7 +73,7 @@
 	op.Kind = claim.Release
 	begin := bo.Clock.Now()
 	bo.retryInBackground(func(ctx context.Context) bool {
-		switch bo.Do(ctx, op).Answer {
+		switch bo.Do(ctx, op).Code {
 		case claim.Applied:
 			return true
 		case claim.NotFound:
@@ -89,7 +89,7 @@
 // ReleaseInBackground.
 func (bo *Registry) RecordInBackground(op claim.Op) {
 	op.Kind = claim.Record
-	bo.retryInBackground(func(ctx context.Context) bool { return bo.Do(ctx, op).Answer != claim.Unavailable })
+	bo.retryInBackground(func(ctx context.Context) bool { return bo.Do(ctx, op).Code != claim.Unavailable })
 }
 
 // backgroundTimeout limits one attempt of a background operation.
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	op := acquire(key, holder, "same")
-	switch bo.Do(ctx, op).Answer {
+	switch bo.Do(ctx, op).Code {
 	case claim.Granted:
 	case claim.Unavailable:
 		bo.ReleaseInBackground(op)
@@ -167,7 +167,7 @@
 			for j := range 5 {
 				wg.Go(func() {
 					key := fmt.Sprint("key", j)
-					if bo.Do(context.Background(), acquire(key, fmt.Sprint(i), "p")).Answer == claim.Granted {
+					if bo.Do(context.Background(), acquire(key, fmt.Sprint(i), "p")).Code == claim.Granted {
 						granted.add(key)
 					}
 				})
@@ -190,7 +190,7 @@
 		first, second := newBook(st), newBook(st)
 		ctx := context.Background()
 		op := acquire("early", "a", "p")
-		if got := second.Do(ctx, op).Answer; got != claim.Granted {
+		if got := second.Do(ctx, op).Code; got != claim.Granted {
 			t.Fatalf("first acquire = %v, want granted", got)
 		}
 		for i := range 3 {
@@ -199,15 +199,15 @@
 		again := op
 		again.Holder = "b"
 		for name, bo := range map[string]*Registry{"the filling daemon": first, "the other daemon": second, "a new daemon": newBook(st)} {
-			if got := bo.Do(ctx, again).Answer; got != claim.Duplicate {
+			if got := bo.Do(ctx, again).Code; got != claim.Duplicate {
 				t.Errorf("%s: acquire = %v, want duplicate", name, got)
 			}
 		}
 		op.Kind, op.Outcome = claim.Record, &claim.Outcome{Status: 201}
-		if got := second.Do(ctx, op).Answer; got != claim.Applied {
+		if got := second.Do(ctx, op).Code; got != claim.Applied {
 			t.Errorf("record in a sealed slice = %v, want applied", got)
 		}
-		if got := first.Do(ctx, again); got.Answer != claim.Finished || got.Outcome.Status != 201 {
+		if got := first.Do(ctx, again); got.Code != claim.Finished || got.Outcome.Status != 201 {
 			t.Errorf("acquire = %+v, want the recorded outcome", got)
 		}
 		if got := len(stored(t, st, op.Shard)); got < 2 {
@@ -257,11 +257,11 @@
 			op := acquire("one", "h", "p")
 			op.Hash = fmt.Sprintf("%032d", i)
 			wg.Go(func() {
-				if got := bo.Do(context.Background(), op).Answer; got != claim.Granted {
+				if got := bo.Do(context.Background(), op).Code; got != claim.Granted {
 					t.Errorf("acquire = %v, want granted", got)
 				}
 				op.Kind, op.Outcome = claim.Record, &claim.Outcome{Status: 200, Body: body}
-				if got := bo.Do(context.Background(), op).Answer; got != claim.Applied {
+				if got := bo.Do(context.Background(), op).Code; got != claim.Applied {
 					t.Errorf("record = %v, want applied", got)
 				}
 			})
@@ -305,7 +305,7 @@
 		bo.Forward = func(context.Context, string, claim.Op) (claim.Result, error) {
 			return claim.Result{}, errors.New("timeout")
 		}
-		if got := bo.Do(context.Background(), acquire("k", "h", "p")).Answer; got != claim.Granted {
+		if got := bo.Do(context.Background(), acquire("k", "h", "p")).Code; got != claim.Granted {
 			t.Errorf("acquire = %v, want granted", got)
 		}
 	})
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -113,7 +113,7 @@
 		// The cache may lag behind the stored slices, so the next batch reloads them.
 		sh.loaded = false
 		for _, wa := range batch {
-			wa.complete(claim.Result{Answer: claim.Unavailable})
+			wa.complete(claim.Result{Code: claim.Unavailable})
 		}
 	}
 }
@@ -229,8 +229,8 @@
 	for i, wa := range wais {
 		switch {
 		case err != nil:
-			wa.complete(claim.Result{Answer: claim.Unavailable})
-		case results[i].Answer == 0:
+			wa.complete(claim.Result{Code: claim.Unavailable})
+		case results[i].Code == 0:
 			rest = append(rest, wa)
 		default:
 			wa.complete(results[i])
@@ -355,7 +355,7 @@
 // allGranted reports whether no result is negative.
 func allGranted(results []claim.Result) bool {
 	for _, res := range results {
-		if res.Answer != claim.Granted && res.Answer != claim.Applied {
+		if res.Code != claim.Granted && res.Code != claim.Applied {
 			return false
 		}
 	}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -110,7 +110,7 @@
 	}
 	req.Host = emulator.Host
 	req.Header.Set(platform.HeaderRequestID, oc.ID)
-	req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.Key)
+	req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.APIKey)
 	req.Header.Set(platform.HeaderDeadline, fmt.Sprint(clientTimeout.Milliseconds()))
 	if kind == Draft {
 		req.Header.Set(platform.HeaderModel, pick(cl.rnd, []string{emulator.ModelLarge, emulator.ModelSmall}))
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -298,7 +298,7 @@
 	req.Close = true
 	req.Host = emulator.Host
 	req.Header.Set(platform.HeaderRequestID, fmt.Sprint("probe-", time.Now().UnixNano()))
-	req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.Key)
+	req.Header.Set(platform.HeaderAuthorization, "Token "+emulator.APIKey)
 	req.Header.Set(platform.HeaderModel, emulator.ModelLarge)
 	req.Header.Set(platform.HeaderTokens, "100,7")
 	rsp, err := http.DefaultClient.Do(req)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -310,9 +310,9 @@
 	return prompt, resumed
 }
 
-// Word returns token i of the answer to a prompt. It depends on nothing else, so that
+// Token returns token i of the answer to a prompt. It depends on nothing else, so that
 // tests can check a complete answer that was resumed on another replica.
-func Word(prompt string, i int) string {
+func Token(prompt string, i int) string {
 	hs := fnv.New32a()
 	fmt.Fprintf(hs, "%s/%d", prompt, i)
 	return fmt.Sprintf("w%d-%06x ", i, hs.Sum32()&0xffffff)
@@ -424,7 +424,7 @@
 		if req.Context().Err() != nil || !en.isRingComplete() {
 			panic(http.ErrAbortHandler)
 		}
-		writeChunk(w, chat, Word(prompt, i), i == total-1)
+		writeChunk(w, chat, Token(prompt, i), i == total-1)
 		flusher.Flush()
 	}
 	en.mu.Lock()
