--- a/internal/core/fleet/adjust.go
+++ b/internal/core/fleet/adjust.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if len(old) > 0 && draining == 0 && pl.allSettled(current) {
-		pl.roll(spec, old)
+		pl.rollOut(spec, old)
 	}
 	for _, lo := range current {
 		pl.updateAdapters(spec, lo)
@@ -142,10 +142,10 @@
 	pl.changed[lo.do.Name] = true
 }
 
-// roll replaces one outdated replica. Where there is room it forms the new
+// rollOut replaces one outdated replica. Where there is room it forms the new
 // replica first. Otherwise it drains an outdated one; adjust calls it only
 // while all current replicas serve.
-func (pl *planner) roll(spec intent.Group, old []groupRef) {
+func (pl *planner) rollOut(spec intent.Group, old []groupRef) {
 	if pl.form(spec) || pl.roomAfterReleases(spec) {
 		return
 	}
