--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -184,7 +184,7 @@
 	}
 	for {
 		now := st.sv.Clock.Now()
-		ne := st.need(now)
+		ne := st.dispatchRequest(now)
 		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(interval).After(until)
 		ch, ti := st.sv.Table.Pick(ne, cancel, now)
 		if ti != nil || now.Add(interval).After(until) || st.sv.Clock.Sleep(ctx, interval) != nil {
@@ -193,8 +193,8 @@
 	}
 }
 
-// need returns the current requirements of the request.
-func (st *stream) need(now time.Time) dispatch.Request {
+// dispatchRequest returns the request and its current latency limits, as Pick expects them.
+func (st *stream) dispatchRequest(now time.Time) dispatch.Request {
 	ne := dispatch.Request{Service: st.service, Model: st.model, Prompt: st.prompt, MaxPause: st.route.PauseObjective,
 		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, MaxWait: min(maxLateWait, st.remaining()), Resumed: st.started, Exclude: st.tried}
 	if st.started {
@@ -212,7 +212,7 @@
 	if st.sends > 0 {
 		return time.Time{}
 	}
-	ho := st.sv.Table.HoldLate(st.need(now), st.remaining(), now)
+	ho := st.sv.Table.HoldLate(st.dispatchRequest(now), st.remaining(), now)
 	if ho.Delay <= 0 {
 		return time.Time{}
 	}
@@ -391,7 +391,7 @@
 		reason = "timeout"
 	}
 	now := st.sv.Clock.Now()
-	st.end(reason, max(retryAfterBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.need(now), now)))
+	st.end(reason, max(retryAfterBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.dispatchRequest(now), now)))
 }
 
 // end sends the final response. A stream whose header was already sent ends by aborting the
