--- a/internal/core/control/simulation_test.go
+++ b/internal/core/control/simulation_test.go
@@ -69,7 +69,7 @@
 	inbox []func()
 	// revision is the highest configuration revision observed by check.
 	revision uint64
-	// incarnation changes with each process, so that answers to a former
+	// incarnation changes with each process, so that responses to a former
 	// process of the same daemon are dropped.
 	incarnation int
 }
@@ -233,7 +233,7 @@
 	})
 }
 
-// call sends a message and delivers the answer. handle runs on the receiving
+// call sends a message and delivers the response. handle runs on the receiving
 // side and calls answer with the event to deliver to the sender. If that event
 // does not arrive within callTimeout, failed is delivered instead.
 func (w *simulation) call(no *node, to string, failed control.Event, handle func(answer func(control.Event))) {
@@ -283,7 +283,7 @@
 		w.callDaemon(no, ac.Peer, control.PullFailed{Peer: ac.Peer}, func(co *control.Core) control.Event {
 			other := w.daemons[ac.Peer]
 			w.deliver(other, other.incarnation, control.PullReceived{Peer: no.name, Revision: ac.Revision})
-			return control.Pulled{Peer: ac.Peer, SentAt: now, Answer: co.PullAt(w.clock.Now())}
+			return control.Pulled{Peer: ac.Peer, SentAt: now, Response: co.PullAt(w.clock.Now())}
 		})
 	case control.FetchDocs:
 		w.callDaemon(no, ac.Peer, control.DocsArrived{Peer: ac.Peer}, func(co *control.Core) control.Event {
@@ -313,7 +313,7 @@
 	case control.PullObservations:
 		w.callDaemon(no, ac.Peer, control.ObservationsArrived{Daemon: ac.Daemon}, func(co *control.Core) control.Event {
 			an := co.ObservationsAt(w.clock.Now(), ac.Since)
-			return control.ObservationsArrived{Daemon: ac.Daemon, SentAt: now, Answer: &an}
+			return control.ObservationsArrived{Daemon: ac.Daemon, SentAt: now, Response: &an}
 		})
 	case control.SendOrder:
 		w.order(no, ac)
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -13,7 +13,7 @@
 var begin = time.Unix(1000, 0)
 
 func engine() *catalog.Engine {
-	return &catalog.Engine{Slots: 26, Stride: 7, Step: 5950 * time.Microsecond, StepPerRequest: 44500 * time.Nanosecond,
+	return &catalog.Engine{Slots: 26, Stride: 7, StepTime: 5950 * time.Microsecond, StepPerRequest: 44500 * time.Nanosecond,
 		StepPerKContext: 8130 * time.Nanosecond, PrefillPerSecond: 50700, FormTime: 300 * time.Millisecond, MeanAnswer: 178,
 		Models: []catalog.Model{{Name: "large", Size: 2, Pace: 1}, {Name: "small", Size: 2, Pace: 0.6}}}
 }
@@ -48,11 +48,11 @@
 	if empty.FirstEvent < 55*time.Millisecond || empty.FirstEvent > 70*time.Millisecond {
 		t.Errorf("empty group: first event after %v, want 55 to 70 ms", empty.FirstEvent)
 	}
-	busy := predict(en, en.Models[0], 1, Load{Requests: 20, Context: 20000, Prefill: 3000}, 1000)
+	busy := predict(en, en.Models[0], 1, Load{Requests: 20, ContextTokens: 20000, PrefillTokens: 3000}, 1000)
 	if busy.FirstEvent <= empty.FirstEvent || busy.Pass <= empty.Pass || busy.Full {
 		t.Errorf("busy group: %+v, want slower than the empty one: %+v", busy, empty)
 	}
-	if full := predict(en, en.Models[0], 1, Load{Requests: 26, Context: 20000, Prefill: 3000}, 1000); !full.Full || full.FirstEvent <= busy.FirstEvent {
+	if full := predict(en, en.Models[0], 1, Load{Requests: 26, ContextTokens: 20000, PrefillTokens: 3000}, 1000); !full.Full || full.FirstEvent <= busy.FirstEvent {
 		t.Errorf("full group: %+v, want full and slower than the busy one", full)
 	}
 	if slow := predict(en, en.Models[0], 4, Load{}, 1000); slow.FirstEvent < 3*empty.FirstEvent {
@@ -90,7 +90,7 @@
 // and is discarded when their reports stop.
 func TestPeerLoadCounts(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
-	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, Context: 30000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 26, ContextTokens: 30000}}}, begin)
 	for range 5 {
 		if ch, _ := ta.Pick(testRequest(), ignore, begin); ch.Group == nil || ch.Group.Name != "b" {
 			t.Fatalf("picked %v, want b: the other daemon has filled group a", ch.Group)
@@ -170,7 +170,7 @@
 // members have responded.
 func TestSlowFirstEventIsNoStall(t *testing.T) {
 	ta := table(group("a", "here"))
-	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, Context: 30000, Prefill: 9000}}}, begin)
+	ta.ApplyPeerWork("other", Work{Loads: map[string]Load{"a": {Requests: 22, ContextTokens: 30000, PrefillTokens: 9000}}}, begin)
 	ne := testRequest()
 	ne.Objective, ne.MaxPause = time.Second, time.Second
 	if _, ti := ta.Pick(ne, ignore, begin); ti == nil {
@@ -189,10 +189,10 @@
 	}
 }
 
-// The head of a group fails while this daemon has no stream there, so no stall is observed. Checks
+// The leader of a group fails while this daemon has no stream there, so no stall is observed. Checks
 // that the first failed connection excludes the group: otherwise each request waits for the
 // connection timeout first, and its answer from the next group is late.
-func TestUnreachableHeadExcludesGroup(t *testing.T) {
+func TestUnreachableLeaderExcludesGroup(t *testing.T) {
 	ta := table(group("a", "here"), group("b", "here"))
 	ch, ti := ta.Pick(testRequest(), ignore, begin)
 	ta.MarkUnreachable(ch.Group)
@@ -203,7 +203,7 @@
 	for range 10 {
 		other, ti := ta.Pick(testRequest(), ignore, begin)
 		if other.Group == ch.Group {
-			t.Fatal("a request was sent to a group whose head is unreachable")
+			t.Fatal("a request was sent to a group whose leader is unreachable")
 		}
 		ti.End()
 	}
@@ -243,12 +243,12 @@
 func TestLoadIsReleased(t *testing.T) {
 	ta := table(group("a", "here"))
 	_, ti := ta.Pick(testRequest(), ignore, begin)
-	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Prefill: 1000}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, PrefillTokens: 1000}); got != want {
 		t.Errorf("before the first event: %+v, want %+v", got, want)
 	}
 	ti.Event(begin)
 	ti.Event(begin)
-	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, Context: 1014}); got != want {
+	if got, want := ta.OwnWork(begin).Loads["a"], (Load{Requests: 1, ContextTokens: 1014}); got != want {
 		t.Errorf("after two events: %+v, want %+v", got, want)
 	}
 	ti.End()
@@ -258,7 +258,7 @@
 	}
 }
 
-// Checks that repeats stay within the ratio and the slack in any window, however many requests fail.
+// Checks that retries stay within the ratio and the slack in any window, however many requests fail.
 func TestBudget(t *testing.T) {
 	bu := &Budget{Ratio: 0.2, Slack: 5, Window: 10 * time.Second}
 	var spent []time.Time
@@ -278,14 +278,14 @@
 			}
 		}
 		if float64(num) > most*1.1 {
-			t.Fatalf("%d repeats in a window of 500 requests, want at most the ratio plus the slack", num)
+			t.Fatalf("%d retries in a window of 500 requests, want at most the ratio plus the slack", num)
 		}
 	}
 	if len(spent) < 300 {
-		t.Errorf("%d repeats of 2,000 requests, want at least 300", len(spent))
+		t.Errorf("%d retries of 2,000 requests, want at least 300", len(spent))
 	}
 	if !bu.Spend("other", begin) {
-		t.Error("the first repeat to another service was refused")
+		t.Error("the first retry to another service was refused")
 	}
 }
 
@@ -300,7 +300,7 @@
 // An endpoint accepts connections but fails all requests. Checks that it gets few requests while
 // another endpoint works.
 func TestFailingEndpointIsAvoided(t *testing.T) {
-	pl := &Plain{DataCenter: "here"}
+	pl := &PlainTable{DataCenter: "here"}
 	pl.Update(plainView("good", "bad"))
 	now := begin
 	picked := map[string]int{}
@@ -325,7 +325,7 @@
 // Guards against an endpoint that is avoided forever after failures because the others always have a
 // lower cost while there are few requests.
 func TestFailedEndpointIsRetried(t *testing.T) {
-	pl := &Plain{DataCenter: "here"}
+	pl := &PlainTable{DataCenter: "here"}
 	pl.Update(plainView("good", "bad"))
 	now, failures := begin, 0
 	for range 400 {
@@ -346,7 +346,7 @@
 
 // Checks that a leaving endpoint gets no new requests, even if it is the only one.
 func TestLeavingEndpoint(t *testing.T) {
-	pl := &Plain{}
+	pl := &PlainTable{}
 	vi := plainView("only")
 	vi.Plain[0].Leaving = true
 	pl.Update(vi)
@@ -372,7 +372,7 @@
 // restart under the same ID.
 func TestRestartedEndpointIsNotAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	pl := &Plain{}
+	pl := &PlainTable{}
 	view := func(in catalog.Incarnation) *catalog.View {
 		return &catalog.View{Plain: []catalog.PlainEndpoint{{ID: "i-1", Service: "desk", Incarnation: in}, {ID: "i-2", Service: "desk", Incarnation: 1}}}
 	}
--- a/internal/core/dispatch/group.go
+++ b/internal/core/dispatch/group.go
@@ -11,8 +11,8 @@
 // is read without the lock, so it is never changed.
 type Group struct {
 	catalog.Group
-	// leaving and reportedSlowness are taken from the newest view.
-	leaving          bool
+	// draining and reportedSlowness are taken from the newest view.
+	draining         bool
 	reportedSlowness float64
 	engine           *catalog.Engine
 	model            catalog.Model
@@ -28,7 +28,7 @@
 	// recovered is set when a stalled group emits an event again, until RecoveredGroups has returned
 	// the group.
 	recovered bool
-	// unreachable is set when connecting to the head has failed.
+	// unreachable is set when connecting to the leader has failed.
 	unreachable bool
 	// lastActivity is when the group last emitted an event, or got its first request after having
 	// none.
@@ -42,8 +42,8 @@
 	pauseRatio float64
 }
 
-// head identifies the process that receives the group's requests.
-func (gr *Group) head() catalog.Instance { return gr.Members[0].Instance() }
+// leader identifies the process that receives the group's requests.
+func (gr *Group) leader() catalog.Instance { return gr.Members[0].Instance() }
 
 // Key returns the name that identifies the group in messages between daemons.
 func (gr *Group) Key() string { return gr.Name }
@@ -77,18 +77,18 @@
 		if ti.baseline > 0 {
 			ti.ta.residuals.observe(gr.Model, now.Sub(ti.sent)-ti.baseline)
 		}
-		gr.ownLoad.Prefill -= ti.load.Prefill
-		gr.ownLoad.Context += ti.load.Prefill
-		ti.load.Context = ti.load.Prefill
-		ti.load.Prefill = 0
+		gr.ownLoad.PrefillTokens -= ti.load.PrefillTokens
+		gr.ownLoad.ContextTokens += ti.load.PrefillTokens
+		ti.load.ContextTokens = ti.load.PrefillTokens
+		ti.load.PrefillTokens = 0
 	} else if !ti.lastEvent.IsZero() && !ti.done {
 		gr.observePause(now.Sub(ti.lastEvent))
 	}
 	ti.lastEvent = now
 	if !ti.done {
 		tokens := int64(gr.engine.Stride)
-		ti.load.Context += tokens
-		gr.ownLoad.Context += tokens
+		ti.load.ContextTokens += tokens
+		gr.ownLoad.ContextTokens += tokens
 	}
 }
 
@@ -135,7 +135,7 @@
 	ti.done = true
 	gr := ti.Group
 	gr.ownLoad.Requests--
-	gr.ownLoad.Prefill -= ti.load.Prefill
-	gr.ownLoad.Context -= ti.load.Context
+	gr.ownLoad.PrefillTokens -= ti.load.PrefillTokens
+	gr.ownLoad.ContextTokens -= ti.load.ContextTokens
 	delete(gr.streams, ti)
 }
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -23,7 +23,7 @@
 )
 
 // StalledGroups returns the groups whose members are to be probed now, because this daemon's
-// requests there have stalled or the head is unreachable. Requests at stalled groups that have left
+// requests there have stalled or the leader is unreachable. Requests at stalled groups that have left
 // the view are canceled with ErrStalled, so that they continue at another group.
 func (ta *Table) StalledGroups(now time.Time) []catalog.Group {
 	ta.mu.Lock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// MarkUnreachable records that connecting to a group's head has failed. The group gets no requests
+// MarkUnreachable records that connecting to a group's leader has failed. The group gets no requests
 // until its members have responded, and StalledGroups returns it at once. Otherwise a daemon without
 // a stream at the group would send it one request after the other, each of which runs into the
 // timeout.
--- a/internal/core/steward/groups_test.go
+++ b/internal/core/steward/groups_test.go
@@ -70,9 +70,9 @@
 		}},
 		{"cut head", func(si *simulation) {
 			gr := si.core.Groups()[0]
-			si.setUnreachable(gr.Head().ID, true)
+			si.setUnreachable(gr.Leader().ID, true)
 			si.runWithStallReports(3 * time.Second)
-			si.setUnreachable(gr.Head().ID, false)
+			si.setUnreachable(gr.Leader().ID, false)
 		}},
 		{"cut member", func(si *simulation) {
 			gr := si.core.Groups()[0]
@@ -160,7 +160,7 @@
 func (si *simulation) groupWithSpare() catalog.Group {
 	si.t.Helper()
 	for _, gr := range si.core.Groups() {
-		if si.core.replaceable(si.core.vms[gr.Head().ID], gr.Model) {
+		if si.core.replaceable(si.core.vms[gr.Leader().ID], gr.Model) {
 			return gr
 		}
 	}
@@ -278,15 +278,15 @@
 	si.takeOver()
 	si.core.RestoreMember(gr, lost, si.now)
 	si.run(registrationTimeout - time.Second)
-	if !si.headRegrouped(gr) {
-		t.Error("the head of the broken group serves in no other group")
+	if !si.leaderRegrouped(gr) {
+		t.Error("the leader of the broken group serves in no other group")
 	}
 }
 
-// headRegrouped reports whether the head of a group serves in another one.
-func (si *simulation) headRegrouped(gr catalog.Group) bool {
+// leaderRegrouped reports whether the leader of a group serves in another one.
+func (si *simulation) leaderRegrouped(gr catalog.Group) bool {
 	return slices.ContainsFunc(si.core.Groups(), func(other catalog.Group) bool {
-		return other.Name != gr.Name && slices.ContainsFunc(other.Members, func(me catalog.Member) bool { return me.ID == gr.Head().ID })
+		return other.Name != gr.Name && slices.ContainsFunc(other.Members, func(me catalog.Member) bool { return me.ID == gr.Leader().ID })
 	})
 }
 
@@ -300,8 +300,8 @@
 	si.kill(gr.Members[1].ID)
 	si.takeOver()
 	si.run(registrationTimeout - time.Second)
-	if !si.headRegrouped(gr) {
-		t.Error("the head of the broken group serves in no other group")
+	if !si.leaderRegrouped(gr) {
+		t.Error("the leader of the broken group serves in no other group")
 	}
 }
 
--- a/internal/core/steward/loss_test.go
+++ b/internal/core/steward/loss_test.go
@@ -13,8 +13,8 @@
 
 // wideModels have groups of 32 and 8 VMs. The tests use them in domains of 73 VMs.
 var wideModels = []catalog.Model{
-	{Name: "large", Size: 32, Pace: 1, Share: 0.5, Load: 16 * time.Second, Warm: 1600 * time.Millisecond},
-	{Name: "small", Size: 8, Pace: 0.6, Share: 0.5, Load: 12 * time.Second, Warm: 1100 * time.Millisecond},
+	{Name: "large", Size: 32, Pace: 1, Share: 0.5, LoadTime: 16 * time.Second, WarmLoadTime: 1600 * time.Millisecond},
+	{Name: "small", Size: 8, Pace: 0.6, Share: 0.5, LoadTime: 12 * time.Second, WarmLoadTime: 1100 * time.Millisecond},
 }
 
 // callCPUTime is the CPU time that a call costs the steward's machine. A connection, the
@@ -41,21 +41,21 @@
 }
 
 // The entries of every eighth VM expire at once because these VMs can't reach the store. The
-// VMs still respond to polls, with some packet loss, and their groups must keep serving. Heads
-// keep their entries, because a head without one may not be sent requests.
+// VMs still respond to polls, with some packet loss, and their groups must keep serving. Leaders
+// keep their entries, because a leader without one may not be sent requests.
 func TestExpiredEntriesAreNotMemberLoss(t *testing.T) {
 	si := newSimulationWith(t, 2, 5, 73, wideModels)
 	si.runInitialLoads(4 * time.Second)
 	si.cpuPerCall = callCPUTime
-	heads := make(map[string]bool)
+	leaders := make(map[string]bool)
 	for _, gr := range si.core.Groups() {
-		heads[gr.Head().ID] = true
+		leaders[gr.Leader().ID] = true
 	}
 	before := si.core.Groups()
 	si.storeDown = true
 	si.lostPollResponses = 0.2
 	for i, id := range si.fleet.IDs() {
-		if i%8 == 0 && !heads[id] {
+		if i%8 == 0 && !leaders[id] {
 			delete(si.entries, id)
 			si.core.Unregister(id, si.now)
 		}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -196,7 +196,7 @@
 // send sends a request to a daemon and returns the body of a 200 response, or a description
 // of any other result.
 func (sk *stack) send(ru *testDaemon, path, id string) string {
-	return sk.sendWithKey(ru, path, id, emulator.Key)
+	return sk.sendWithKey(ru, path, id, emulator.APIKey)
 }
 
 // sendWithKey is like send with the given API key.
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -116,8 +116,8 @@
 	st.choice = ch
 	st.log.Debug("front: sent.", "group", ch.Group.Name, "predicted-ms", ch.FirstEvent.Milliseconds(), "fits", ch.MeetsObjective)
 	sent := st.sv.Clock.Now()
-	head := ch.Group.Head()
-	ex, err := st.sv.Pool.Send(attemptCtx, head.Address, st.groupRequest(head.ID))
+	leader := ch.Group.Leader()
+	ex, err := st.sv.Pool.Send(attemptCtx, leader.Address, st.groupRequest(leader.ID))
 	if err == nil || http1.VerdictOf(err) != verdict.NotRun {
 		st.sends++
 		sendCount.Inc()
@@ -130,7 +130,7 @@
 		return ch, false
 	}
 	defer ex.Close()
-	st.sv.ApplyResponseHeader(head.Instance(), ex.Response, sent)
+	st.sv.ApplyResponseHeader(leader.Instance(), ex.Response, sent)
 	if ex.Response.StatusCode != http.StatusOK {
 		return ch, st.handleNonStream(attemptCtx, ch, ex, sent)
 	}
@@ -184,7 +184,7 @@
 	}
 	for {
 		now := st.sv.Clock.Now()
-		ne := st.need(now)
+		ne := st.dispatchRequest(now)
 		ne.FinalAttempt = !st.started && !until.IsZero() && now.Add(interval).After(until)
 		ch, ti := st.sv.Table.Pick(ne, cancel, now)
 		if ti != nil || now.Add(interval).After(until) || st.sv.Clock.Sleep(ctx, interval) != nil {
@@ -193,8 +193,8 @@
 	}
 }
 
-// need returns the current requirements of the request.
-func (st *stream) need(now time.Time) dispatch.Request {
+// dispatchRequest returns the request and its current latency limits, as Pick expects them.
+func (st *stream) dispatchRequest(now time.Time) dispatch.Request {
 	ne := dispatch.Request{Service: st.service, Model: st.model, Prompt: st.prompt, MaxPause: st.route.PauseObjective,
 		Objective: st.route.Objective - st.waited - now.Sub(st.arrived) - callerDelay, MaxWait: min(maxLateWait, st.remaining()), Resumed: st.started, Exclude: st.tried}
 	if st.started {
@@ -212,7 +212,7 @@
 	if st.sends > 0 {
 		return time.Time{}
 	}
-	ho := st.sv.Table.HoldLate(st.need(now), st.remaining(), now)
+	ho := st.sv.Table.HoldLate(st.dispatchRequest(now), st.remaining(), now)
 	if ho.Delay <= 0 {
 		return time.Time{}
 	}
@@ -317,8 +317,8 @@
 			st.sv.OnMisrouted()
 		} else if ch.Idle {
 			// It is idle but refuses requests, so it would look best again.
-			head := gr.Head()
-			st.sv.Backpressure.SetRefused(head.Instance(), sent, st.sv.Clock.Now())
+			leader := gr.Leader()
+			st.sv.Backpressure.SetRefused(leader.Instance(), sent, st.sv.Clock.Now())
 		}
 		st.log.Info("front: group refused.", "group", gr.Name, "status", an.status)
 		return false
@@ -345,7 +345,7 @@
 		st.state = verdict.MayHaveRun
 	}
 	st.cause = err
-	st.reportDisconnect(ctx, gr.Head().ID, gr.Head().Address, err)
+	st.reportDisconnect(ctx, gr.Leader().ID, gr.Leader().Address, err)
 	st.log.Info("front: attempt failed.", "group", gr.Name, "events", st.events, "cause", err.Error())
 }
 
@@ -391,7 +391,7 @@
 		reason = "timeout"
 	}
 	now := st.sv.Clock.Now()
-	st.end(reason, max(retryAfterBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.need(now), now)))
+	st.end(reason, max(retryAfterBusy, ch.RetryAfter, st.sv.Table.WaitTime(st.dispatchRequest(now), now)))
 }
 
 // end sends the final response. A stream whose header was already sent ends by aborting the
