--- a/internal/core/backpressure/limit_test.go
+++ b/internal/core/backpressure/limit_test.go
@@ -53,7 +53,7 @@
 	arrivals []time.Duration
 	sent     int
 	rd       *rand.Rand
-	// scheduled are the events to come; at is the time since the start of the run.
+	// scheduled holds the events that have not run yet; at is the time since the start of the run.
 	scheduled []event
 	at        time.Duration
 }
