--- a/internal/core/catalog/change.go
+++ b/internal/core/catalog/change.go
@@ -6,8 +6,8 @@
 )
 
 // Change is the difference between two views of one steward. A repair changes
-// one or two groups of many. A whole view of 300 VMs has some 16 KB, a change
-// at most 1 KB.
+// one or two groups of many. The encoding of a view of 300 VMs takes about
+// 16 KB, that of a change at most 1 KB.
 type Change struct {
 	// Term, From and Sequence identify the views: the change turns view From of
 	// the term into view Sequence.
--- a/internal/core/catalog/demand_test.go
+++ b/internal/core/catalog/demand_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a demand figure that omits part of a request's cost: the
-// figure is compared with an engine that works in passes with all slots taken.
+// figure is compared with an engine that works in passes with all slots in use.
 func TestDemandGroups(t *testing.T) {
 	en := &Engine{Slots: 48, Stride: 5, KVTokens: 2_470_000, StepTime: 6450 * time.Microsecond, StepPerRequest: 97 * time.Microsecond,
 		StepPerKContext: 3 * time.Microsecond, PrefillPerSecond: 56_100}
@@ -36,7 +36,7 @@
 }
 
 // passRate returns the number of requests per second that a group with all
-// slots taken completes.
+// slots in use completes.
 func passRate(en *Engine, pace, prompt, answer float64) float64 {
 	running := math.Min(float64(en.Slots), float64(en.KVTokens)/(prompt+answer/2))
 	step := en.StepTime.Seconds() + running*(en.StepPerRequest.Seconds()+(prompt+answer/2)/1000*en.StepPerKContext.Seconds())
@@ -60,7 +60,7 @@
 	}
 	for _, tc := range tests {
 		if got := tc.de.Groups(&tc.en, Model{}); math.IsNaN(got) || math.IsInf(got, 0) || got < 0 {
-			t.Errorf("%s: %v groups", tc.name, got)
+			t.Errorf("%s: %v groups, want a finite number of at least 0", tc.name, got)
 		}
 	}
 }
