--- a/internal/core/control/config_test.go
+++ b/internal/core/control/config_test.go
@@ -31,6 +31,8 @@
 	return intent.Workspace{Name: name, Share: share, KeySHA256: fmt.Sprintf("%064x", name)}
 }
 
+// Guards against configuration changes that are lost, applied twice or reverted,
+// and against a daemon that becomes ready with an outdated configuration.
 func TestHoldConfig(t *testing.T) {
 	// forceLimit is the time within which a change must be in force on all
 	// daemons.
--- a/internal/core/control/control.go
+++ b/internal/core/control/control.go
@@ -221,10 +221,10 @@
 	co.emit(ac)
 }
 
-// due reports whether at least pause has passed since it last returned true for
-// key.
-func (co *Core) due(key string, pause time.Duration) bool {
-	if at, ok := co.lastRun[key]; ok && co.now.Sub(at) < pause {
+// due reports whether at least interval has passed since it last returned true
+// for key.
+func (co *Core) due(key string, interval time.Duration) bool {
+	if at, ok := co.lastRun[key]; ok && co.now.Sub(at) < interval {
 		return false
 	}
 	co.lastRun[key] = co.now
--- a/internal/core/control/invariants_test.go
+++ b/internal/core/control/invariants_test.go
@@ -75,6 +75,9 @@
 	}
 }
 
+// Guards against requests to an incomplete group. However a group loses a member,
+// each daemon must lose its permit for the group at once, or when the permit
+// expires if no revocation reaches the daemon, and the group must be repaired.
 func TestHoldWholeGroup(t *testing.T) {
 	tests := []struct {
 		name string
@@ -241,6 +244,7 @@
 	}
 }
 
+// Guards against a VM that is assigned to two groups at once.
 func TestHoldOneGroupPerVM(t *testing.T) {
 	// In each of these cases two daemons act as steward at the same time, or
 	// one acts on an outdated state. After every event the simulation checks
@@ -395,6 +399,7 @@
 	}
 }
 
+// Guards against requests to the group of a VM that has announced its shutdown.
 func TestHoldLeaving(t *testing.T) {
 	// leaveLimit is the time within which no daemon may send to the group of a
 	// leaving VM; callers are promised "a few seconds".
@@ -429,7 +434,7 @@
 			w.advance(10 * time.Second)
 			en.leaving = true
 		}},
-		// The same while a prober dies at that moment.
+		// The same while a prober dies at the same moment.
 		{"kill", func(_ *testing.T, w *simulation, en *engine) {
 			en.leaving = true
 			w.daemons["d2"].kill()
--- a/internal/core/control/members.go
+++ b/internal/core/control/members.go
@@ -233,7 +233,8 @@
 	}
 }
 
-// addDigest adds evidence from a peer, dated from the time the pull was sent.
+// addDigest adds evidence from a peer. Its age is subtracted from the time at
+// which the pull was sent, so that transit time never makes it look newer.
 func (co *Core) addDigest(gd GroupDigest, ev Pulled) {
 	gr, ok := co.groups[co.groupByHash[gd.Hash]]
 	if !ok || int(gd.Leader) >= len(gr.Members) {
--- a/internal/core/control/probers.go
+++ b/internal/core/control/probers.go
@@ -10,8 +10,8 @@
 // pulls the changed observations from the probing daemons and merges them.
 
 const (
-	// observationsPause is the interval between pulls of observations.
-	observationsPause = time.Second
+	// observationsInterval is the interval between pulls of observations.
+	observationsInterval = time.Second
 	// proberStateMaxAge is how long the observations of a prober stay in use
 	// after its last response.
 	proberStateMaxAge = 6 * time.Second
@@ -28,7 +28,7 @@
 }
 
 func (co *Core) pullObservations() {
-	if !co.due("sightings", observationsPause) {
+	if !co.due("sightings", observationsInterval) {
 		return
 	}
 	for _, dm := range co.localDaemons() {
--- a/internal/core/control/probing.go
+++ b/internal/core/control/probing.go
@@ -19,8 +19,9 @@
 	changeSeq uint64
 	// probedAt is when the last probe was emitted.
 	probedAt time.Time
-	// unchangedSince is when the first report arrived after which all reports
-	// showed the VM in the same membership state as the last one.
+	// unchangedSince is the arrival time of the first report in the current
+	// series of reports with the same membership state. A failed probe ends the
+	// series.
 	unchangedSince time.Time
 }
 
@@ -31,9 +32,9 @@
 	group string
 }
 
-// ungroupedPauseFactor multiplies the probe interval of VMs that are in no
+// ungroupedIntervalFactor multiplies the probe interval of VMs that are in no
 // group.
-const ungroupedPauseFactor = 4
+const ungroupedIntervalFactor = 4
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
@@ -139,22 +140,22 @@
 	return false
 }
 
-// probePause returns the interval between probes of a VM, extended so that the
-// probes of this daemon stay below Timing.ProbeBytes.
-func (co *Core) probePause() time.Duration {
-	pause := co.set.Timing.Probe
+// probeInterval returns the interval between probes of a VM, extended so that
+// the probes of this daemon stay below Timing.ProbeBytes.
+func (co *Core) probeInterval() time.Duration {
+	interval := co.set.Timing.Probe
 	if budget := co.set.Timing.ProbeBytes; budget > 0 {
-		pause = max(pause, time.Duration(len(co.probing))*probeWireBytes*time.Second/time.Duration(budget))
+		interval = max(interval, time.Duration(len(co.probing))*probeWireBytes*time.Second/time.Duration(budget))
 	}
-	return pause
+	return interval
 }
 
 func (co *Core) probeRound() {
-	pause := co.probePause()
+	interval := co.probeInterval()
 	for _, vm := range sortedKeys(co.probing) {
 		as := co.probing[vm]
 		si := co.observationOf(vm)
-		if co.now.Sub(si.probedAt) < co.pauseFor(as, pause) {
+		if co.now.Sub(si.probedAt) < co.probeIntervalFor(as, interval) {
 			continue
 		}
 		si.probedAt = co.now
@@ -162,18 +163,18 @@
 	}
 }
 
-// pauseFor returns the probe interval for one VM. It is extended to
+// probeIntervalFor returns the probe interval for one VM. It is extended to
 // Timing.Sweep while requests prove that the VM's group is complete.
-func (co *Core) pauseFor(as probeAssignment, pause time.Duration) time.Duration {
+func (co *Core) probeIntervalFor(as probeAssignment, interval time.Duration) time.Duration {
 	gr, ok := co.groups[as.group]
 	if !ok {
-		return ungroupedPauseFactor * pause
+		return ungroupedIntervalFactor * interval
 	}
 	pe, ok := co.permits.Permit(gr, co.now)
 	if ok && co.rings[gr.ID] != nil && co.now.Sub(pe.At) < co.set.Timing.Permit/3 && co.provenByTraffic(gr, pe) {
-		return max(pause, co.set.Timing.Sweep)
+		return max(interval, co.set.Timing.Sweep)
 	}
-	return pause
+	return interval
 }
 
 // provenByTraffic reports whether the evidence is newer than this daemon's own
--- a/internal/core/control/steward.go
+++ b/internal/core/control/steward.go
@@ -22,10 +22,10 @@
 	// steward may be in transit. A new steward waits this long before it acts
 	// if an engine does not check fencing.
 	orderTransitLimit = 2 * time.Second
-	// planPause is the interval between plans.
-	planPause = 250 * time.Millisecond
-	// acquirePause is the interval between attempts to acquire the lease.
-	acquirePause = time.Second
+	// planInterval is the interval between plans.
+	planInterval = 250 * time.Millisecond
+	// acquireInterval is the interval between attempts to acquire the lease.
+	acquireInterval = time.Second
 	// revisionBits is the width of the part of a document revision that counts
 	// within an epoch; the epoch is shifted left by it.
 	revisionBits = 20
@@ -161,7 +161,7 @@
 	}
 	co.stewardReads()
 	co.pullObservations()
-	if co.due("plan", planPause) {
+	if co.due("plan", planInterval) {
 		co.plan()
 	}
 }
@@ -175,7 +175,7 @@
 	if !co.ranksWithin(co.candidates(), "steward/"+co.set.DataCenter, 1) {
 		return
 	}
-	if co.due("acquire", acquirePause) {
+	if co.due("acquire", acquireInterval) {
 		co.emitOnce(keyLease, AcquireLease{})
 	}
 }
