--- a/internal/core/dispatch/budget.go
+++ b/internal/core/dispatch/budget.go
@@ -59,10 +59,10 @@
 	return bu.allowed(ac, now) - float64(sum(ac.retries))
 }
 
-// allowed returns the number of retries permitted in the window that ends now. A daemon that has
-// just started has no record of what it spent before the restart, so it may use only a part of its
-// slack; the slack of all daemons together is half of the total. The oldest part of the ring is only
-// partly within the window: its retries count, its requests do not.
+// allowed returns the number of retries permitted in the window that ends now. In the first window
+// after its start, a daemon has no record of what it spent before a restart, so it may use only
+// startupShare of its slack and nothing for its requests. The oldest part of the ring is only partly
+// within the window: its retries count, its requests do not.
 func (bu *Budget) allowed(ac *usage, now time.Time) float64 {
 	if now.Sub(bu.StartedAt) < bu.Window {
 		return startupShare * bu.Slack
@@ -71,7 +71,8 @@
 }
 
 // startupShare is the fraction of its slack that a daemon may use in the first window after its
-// start. With it, two restarts of all daemons within one window stay within the total slack.
+// start. All daemons together are assigned half of the total slack, so that with this share two
+// restarts of all daemons within one window stay within the total slack.
 const startupShare = 0.5
 
 // usageOf returns the counts of a service, advanced to now. The caller holds mu.
--- a/internal/core/dispatch/budget_test.go
+++ b/internal/core/dispatch/budget_test.go
@@ -94,7 +94,7 @@
 				bp.step(requests, at >= calm, begin.Add(at))
 			}
 			if over := bp.excess(); over > 0 {
-				t.Errorf("%.0f retries above the limit in one window", over)
+				t.Errorf("%.0f retries above the limit in one window, want none", over)
 			}
 		})
 	}
--- a/internal/core/dispatch/dispatch_test.go
+++ b/internal/core/dispatch/dispatch_test.go
@@ -40,8 +40,9 @@
 
 func ignore(error) {}
 
-// A pass of an empty group prefills 1,000 tokens in 20 ms and runs seven decode steps of 6 ms. A
-// pass of a full group takes longer, and a new request also waits for half of the current one.
+// Checks predictions for an empty, busy, full and slow group. A pass of an empty group prefills
+// 1,000 tokens in 20 ms and runs seven decode steps of 6 ms. A pass of a full group takes longer,
+// and a new request also waits for half of the current one.
 func TestPredict(t *testing.T) {
 	en := engine()
 	empty := predict(en, en.Models[0], 1, Load{}, 1000)
@@ -56,7 +57,7 @@
 		t.Errorf("full group: %+v, want full and slower than the busy one", full)
 	}
 	if slow := predict(en, en.Models[0], 4, Load{}, 1000); slow.FirstEvent < 3*empty.FirstEvent {
-		t.Errorf("slow group: first event after %v, normal one after %v", slow.FirstEvent, empty.FirstEvent)
+		t.Errorf("slow group: first event after %v, want at least 3 times the %v of the empty one", slow.FirstEvent, empty.FirstEvent)
 	}
 }
 
--- a/internal/core/dispatch/overload_test.go
+++ b/internal/core/dispatch/overload_test.go
@@ -288,7 +288,7 @@
 	}
 	t.Logf("at most %d requests at the new group", worst)
 	if worst > engine().Slots {
-		t.Errorf("%d requests at a new group of %d slots", worst, engine().Slots)
+		t.Errorf("%d requests at the new group, want at most its %d slots", worst, engine().Slots)
 	}
 }
 
@@ -324,7 +324,7 @@
 	cw := newSlotSim(2, 40, 12)
 	cw.simulate(0.5*cw.capacity(), 10*time.Second)
 	if cw.refused*200 > cw.sent {
-		t.Errorf("%d of %d requests were refused at half of the capacity", cw.refused, cw.refused+cw.sent)
+		t.Errorf("%d of %d requests were refused at half of the capacity, want at most 1 for 200 sent", cw.refused, cw.refused+cw.sent)
 	}
 }
 
--- a/internal/core/dispatch/stall.go
+++ b/internal/core/dispatch/stall.go
@@ -62,8 +62,8 @@
 
 // stallTimeout returns how long the group may emit nothing before it counts as stalled. If no
 // request of this daemon has emitted an event yet, it is a multiple of the predicted time to the
-// first event, which takes longer under load; treating loaded groups as lost would shift their load
-// to the others and make the requests there late in turn.
+// first event, which grows with the load: treating loaded groups as lost would shift their load to
+// the others, whose requests would then be late as well.
 func (gr *Group) stallTimeout() time.Duration {
 	pr := predict(gr.engine, gr.model, gr.slowness(), gr.ownLoad.plus(gr.peerLoad), 0)
 	for ti := range gr.streams {
--- a/internal/core/dispatch/table.go
+++ b/internal/core/dispatch/table.go
@@ -29,16 +29,16 @@
 	peers map[string]peerWork
 	// reportDelay is the mean age of the other daemons' reports when they are used.
 	reportDelay time.Duration
-	// rates is the rate of requests at this daemon for each model, peerRates the sum over the other
-	// daemons, per second.
+	// rates holds the rate of requests at this daemon, peerRates the sum of the rates at the other
+	// daemons, both by model and per second.
 	rates     arrivals
 	peerRates map[string]float32
 	// demands is the demand for each model at this daemon.
 	demands demands
 	// estimatedUntil is the time of the last estimate of the others' requests, by model.
 	estimatedUntil map[string]time.Time
-	// residuals holds by how much first events arrive later than the engines' descriptions predict,
-	// by model.
+	// residuals holds, by model, how much later first events arrive than the engines' descriptions
+	// predict.
 	residuals residuals
 	// numDaemons is the number of daemons. nextLate is the time from which this daemon may send the
 	// next late request, by model.
@@ -72,8 +72,8 @@
 	Exclude []*Group
 }
 
-// late reports whether the request misses its objective at any group: its caller was refused before
-// and has retried.
+// late reports whether the objective of the request has already passed, so that no group can meet
+// it: its caller was refused before and has retried.
 func (ne *Request) late() bool { return ne.Objective <= 0 && !ne.Resumed }
 
 // lateReserve is the fraction of a group's slots reserved for requests that can still meet their
@@ -214,8 +214,8 @@
 	return !ca.Full && ca.FirstEvent < ne.MaxWait && ca.Pass <= ne.MaxPause
 }
 
-// candidates returns the groups that accept the request, and the fraction of the requests of its
-// kind that exceeds the room of all groups.
+// candidates returns the groups that accept the request, and the fraction of the concurrent requests
+// for its model that exceeds the room of these groups.
 func (ta *Table) candidates(ne Request, now time.Time) ([]candidate, float64) {
 	var cands []candidate
 	var levels []level
--- a/internal/core/dispatch/waits.go
+++ b/internal/core/dispatch/waits.go
@@ -27,7 +27,7 @@
 	minRepeats = 5
 	// timeoutBand is the fraction by which the timeouts of first attempts may differ.
 	timeoutBand = 0.16
-	// minSamples is the number of samples from which they are used instead of the route's timeout.
+	// minSamples is the number of samples below which the route's timeout is assumed instead.
 	minSamples = 16
 	// minFirstShare is the least fraction of the recent requests that are first attempts.
 	minFirstShare = 0.1
--- a/internal/core/dispatch/waits_test.go
+++ b/internal/core/dispatch/waits_test.go
@@ -90,7 +90,7 @@
 		wa.ElapsedWait(time.Duration(i).String(), time.Second, time.Second)
 	}
 	if len(wa.routes) > maxRoutes {
-		t.Errorf("%d routes are kept", len(wa.routes))
+		t.Errorf("%d routes are kept, want at most maxRoutes", len(wa.routes))
 	}
 }
 
