--- a/internal/core/fleet/adjust.go
+++ b/internal/core/fleet/adjust.go
@@ -79,7 +79,7 @@
 	gr := Group{ID: pl.unusedID(spec, do), Spec: spec.Name, Model: mo.Name, Version: mo.Version,
 		Role: spec.Role, Adapters: mo.Adapters, Fence: fenceUnassigned, Size: mo.VMs}
 	for _, vm := range pl.warmFirst(pl.freeIn(name), gr)[:pl.in.Config.Size(spec)] {
-		gr.Members = append(gr.Members, pl.member(vm, gr.ID))
+		gr.Members = append(gr.Members, pl.assignMember(vm, gr.ID))
 	}
 	do.Groups = append(do.Groups, gr)
 	pl.changed[name] = true
--- a/internal/core/fleet/plan.go
+++ b/internal/core/fleet/plan.go
@@ -217,8 +217,8 @@
 	return vms
 }
 
-// member makes a free VM a member of a group and marks it as owned.
-func (pl *planner) member(vm VM, group string) Member {
+// assignMember makes a free VM a member of a group and marks it as owned.
+func (pl *planner) assignMember(vm VM, group string) Member {
 	pl.owner[vm.Name] = group
 	return Member{VM: vm.Name, Address: vm.Address, Incarnation: pl.in.Observed[vm.Name].Report.Incarnation}
 }
@@ -306,8 +306,9 @@
 	return ring, len(ring) == gr.Size
 }
 
-// mayReformRing reports whether the ring of gr may be re-formed without cutting
-// off requests. A member that is merely leaving still finishes its requests.
+// mayReformRing reports whether the ring of gr may be re-formed without
+// interrupting requests. A member that is merely leaving still finishes its
+// requests.
 func (pl *planner) mayReformRing(gr Group) bool {
 	for _, me := range gr.Members {
 		re, ok := pl.report(me.VM)
--- a/internal/core/fleet/repair.go
+++ b/internal/core/fleet/repair.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		delete(pl.owner, me.VM)
-		members[i] = pl.member(vm, gr.ID)
+		members[i] = pl.assignMember(vm, gr.ID)
 		replaced = true
 	}
 	if !replaced {
