--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -301,8 +301,8 @@
 	return best
 }
 
-// cost returns the work in tokens ahead of and including the prefill of a new request. It is
-// increased for slow groups.
+// cost returns the group's load plus the prompt tokens that a new request has to prefill, in tokens.
+// It is increased for slow groups.
 func (gr *Group) cost(prefill int64) int64 {
 	co := gr.Load() + prefill
 	if gr.slow.Load() {
