--- a/internal/core/steward/dispatch.go
+++ b/internal/core/steward/dispatch.go
@@ -11,7 +11,7 @@
 // All calls share the CPU of the steward's machine. If all polls of a large fleet were in
 // flight at once, responses would wait for the CPU longer than the poll timeout, and healthy
 // VMs would be marked as down. The number of calls in flight is therefore bounded, and calls
-// that decide about serving groups go first.
+// that decide about serving groups are sent first.
 const (
 	// maxPolls bounds the polls in flight and maxOrders the orders. Polls that do not decide
 	// about a serving group are sent only while fewer than maxRoutinePolls are in flight.
--- a/internal/core/steward/dispatch_test.go
+++ b/internal/core/steward/dispatch_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if polls > maxPolls || si.core.orders.inFlight > maxOrders {
-		si.t.Fatalf("%d polls and %d orders in flight, above the limits", polls, si.core.orders.inFlight)
+		si.t.Fatalf("%d polls and %d orders in flight, want at most maxPolls and maxOrders", polls, si.core.orders.inFlight)
 	}
 }
 
--- a/internal/core/steward/form.go
+++ b/internal/core/steward/form.go
@@ -179,7 +179,7 @@
 
 // plan adds a new group to the table of groups, with the next epoch and a name derived from it.
 func (co *Core) plan(prefix, service, model string, members []string, now time.Time) *group {
-	epoch := co.epoch()
+	epoch := co.nextEpoch()
 	gr := &group{name: fmt.Sprintf("%s%d-%d", prefix, co.Term, co.epochCounter), epoch: epoch, service: service,
 		model: model, members: members, planned: now, initialLoads: co.InitialLoads}
 	co.groups[groupKey{gr.name, epoch}] = gr
@@ -203,8 +203,8 @@
 	}
 }
 
-// bestGain returns the model and domain of the most useful group that can be formed without a
-// load. The domain is nil if there is none.
+// bestGain returns the model index and the domain of the most useful group that can be formed
+// without a load. The domain is nil if there is none.
 func (co *Core) bestGain(service string, en *catalog.Engine, doms []*domain) (int, *domain) {
 	weights, counts := co.weights(en), co.counts(service, en)
 	best, bestGain, bestDom := -1, 0.0, (*domain)(nil)
@@ -235,7 +235,7 @@
 	return num
 }
 
-// byTargetModel sorts VMs that are reserved for another model last.
+// byTargetModel compares two VMs: those that are reserved for another model sort last.
 func byTargetModel(one, other *vm, model string) int {
 	rank := func(vm *vm) int {
 		if vm.targetModel == "" || vm.targetModel == model {
--- a/internal/core/steward/groups_test.go
+++ b/internal/core/steward/groups_test.go
@@ -9,9 +9,9 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// At the first start no weights are loaded. The VMs are assigned so that the models' groups
-// are in proportion to their work, and as few VMs as the group sizes allow remain without a
-// group.
+// At the first start no weights are loaded. Checks that the VMs are assigned so that the models'
+// groups are in proportion to their work, and that as few VMs as the group sizes allow remain
+// without a group.
 func TestInitialGroups(t *testing.T) {
 	si := newSimulation(t, 1, 6, 9)
 	si.runInitialLoads(5 * time.Second)
@@ -47,9 +47,9 @@
 	}
 }
 
-// No VM belongs to two groups, and no group runs a request with a member that was never ready
-// in it, whichever VMs are lost, slow, partitioned or replaced. After the last fault, no
-// domain has enough idle VMs that hold a model to form another group of it.
+// Checks that no VM belongs to two groups, and that no group runs a request with a member that was
+// never ready in it, whichever VMs are lost, slow, partitioned or replaced. Also checks that, after
+// the last fault, no domain has enough idle VMs that hold a model to form another group of it.
 func TestHoldOneGroupPerVM(t *testing.T) {
 	faults := []struct {
 		name string
@@ -334,7 +334,7 @@
 			}
 		}
 		if float64(num) > most {
-			si.t.Fatalf("%d loads within %v", num, window)
+			si.t.Fatalf("%d loads began within %v, more than the rate of the weight store allows", num, window)
 		}
 	}
 }
--- a/internal/core/steward/large_fleet_test.go
+++ b/internal/core/steward/large_fleet_test.go
@@ -67,7 +67,7 @@
 	return num
 }
 
-// BenchmarkStep measures a step of a settled fleet, which the steward takes after each event
+// BenchmarkStep measures a step of a settled fleet, which the steward runs after each event
 // and about 25 times a second: 0.3 ms for 296 VMs and 4 ms for 2,997.
 func BenchmarkStep(b *testing.B) {
 	for _, domains := range []int{8, 81} {
--- a/internal/core/steward/lifecycle.go
+++ b/internal/core/steward/lifecycle.go
@@ -113,8 +113,8 @@
 
 func isSpare(name string) bool { return (&group{name: name}).spare() }
 
-// command returns an order for the VM, on the condition that the VM has accepted no further
-// order by then.
+// command returns an order for the VM and marks it as pending. The VM refuses the order if it has
+// accepted another one in the meantime.
 func (co *Core) command(vm *vm, order catalog.Order) Command {
 	vm.orderPending = true
 	return Command{ID: vm.ep.ID, Address: vm.ep.Address, Incarnation: vm.ep.Incarnation, Order: order, IfOrders: vm.ep.Orders, initialLoads: co.InitialLoads}
--- a/internal/core/steward/loads.go
+++ b/internal/core/steward/loads.go
@@ -56,7 +56,7 @@
 	return calls
 }
 
-// remove takes a VM off the list of available VMs.
+// remove removes a VM from the list of available VMs.
 func (do *domain) remove(removed *vm) {
 	for i, vm := range do.free {
 		if vm == removed {
@@ -98,11 +98,11 @@
 	value   float64
 }
 
-// converts reports whether the VM would give up a model that it holds as a spare.
+// converts reports whether the load would replace a model that the VM holds as a spare.
 func (ch *loadChoice) converts() bool { return ch.vm.lastModel != "" && ch.vm.targetModel == "" }
 
-// conversions decides whether VMs should give up a model that they hold as spares. The zero
-// value is ready to use; it reads the current splits on first use.
+// conversions decides whether VMs should replace a model that they hold as spares by another one.
+// The zero value is ready to use; it reads the current splits on first use.
 type conversions struct {
 	plan map[string]split
 	ba   *balance
--- a/internal/core/steward/rebalance.go
+++ b/internal/core/steward/rebalance.go
@@ -15,7 +15,7 @@
 	// so that the split converges.
 	minRebalanceGain = 0.15
 	// highUtilization is the utilization from which a model needs more groups. A model that
-	// gives up groups must stay below it with one group fewer than it keeps.
+	// releases groups must stay below it with one group fewer than it keeps.
 	highUtilization = 0.75
 	// rebalanceCooldown is the minimum time between two changes, so that the effect of one is
 	// measured before the next. rebalanceInterval is the time between checks.
@@ -197,8 +197,8 @@
 	return loads
 }
 
-// pendingLoads counts the VMs that are reserved for another model and have yet to fetch its
-// weights.
+// pendingLoads counts the VMs that are reserved for another model and have not fetched its weights
+// yet.
 func (co *Core) pendingLoads(service string) int {
 	num := 0
 	for _, vm := range co.vms {
--- a/internal/core/steward/splits.go
+++ b/internal/core/steward/splits.go
@@ -79,7 +79,7 @@
 	return ba
 }
 
-// replace changes one domain's split. A nil split stands for none.
+// replace changes one domain's split from before to after. A nil split has no groups.
 func (ba *balance) replace(before, after split) {
 	for li, le := range lossLevels {
 		for mi, mo := range ba.models {
--- a/internal/core/steward/stall_test.go
+++ b/internal/core/steward/stall_test.go
@@ -20,7 +20,7 @@
 
 // Under load a group's streams pause, and 68 daemons report the stall repeatedly at different
 // times. The members must be polled once for all reports: polls for each would keep a small
-// machine so busy that responses arrive late and healthy members are taken as lost.
+// machine so busy that responses arrive late and healthy members count as lost.
 func TestStallReportsAreDeduplicated(t *testing.T) {
 	si := newSimulation(t, 5, 1, 9)
 	si.runInitialLoads(5 * time.Second)
--- a/internal/core/steward/steward.go
+++ b/internal/core/steward/steward.go
@@ -1,5 +1,6 @@
-// Package steward decides which VMs form which groups and which orders bring that about. It
-// performs no I/O: facts come in through methods, and Step returns the calls to make.
+// Package steward decides which VMs form which groups and which orders that requires. It performs
+// no I/O: entries, reports and the results of calls are passed to methods of Core, and Step returns
+// the calls to make.
 //
 // The members' reports are the authoritative record of which groups exist, so a new steward
 // needs no state from its predecessor. Safety is enforced by the members. An order names the
@@ -317,8 +318,8 @@
 	return co.sortedIDs
 }
 
-// epoch returns the next epoch. Epochs grow with terms and within a term.
-func (co *Core) epoch() int64 {
+// nextEpoch issues the next epoch. Epochs grow with terms and within a term.
+func (co *Core) nextEpoch() int64 {
 	co.epochCounter++
 	return co.Term<<epochBits + co.epochCounter
 }
