--- a/internal/core/dispatch/moves.go
+++ b/internal/core/dispatch/moves.go
@@ -7,8 +7,8 @@
 
 // moves holds the groups that broke recently. All daemons move their streams from such a group at
 // the same time, before any of them has reported it, and would all select the group with the least
-// reported load. The other streams of that group would pause while it prefills the prompts of the
-// moved ones.
+// reported load. The other streams of the selected group would pause while it prefills the prompts
+// of the moved ones.
 type moves []move
 
 // move records the requests of one broken group that are sent to other groups.
