--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -156,7 +156,7 @@
 
 // lateRound is the time between two rounds of the control loop after which this machine
 // counts as late. Rounds are normally at most one tick apart; a longer gap means that the
-// machine was frozen or out of CPU quota.
+// machine was suspended or out of CPU quota.
 const lateRound = 100 * time.Millisecond
 
 // noteDelay records whether the control loop runs late.
--- a/internal/entry/control_test.go
+++ b/internal/entry/control_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against a false loss of a group member when the machine is frozen or out of CPU
-// quota while it probes the member: a timeout in that period proves nothing, a later one
+// Guards against a false loss of a group member when the machine is suspended or out of
+// CPU quota while it probes the member: a timeout in that period proves nothing, a later one
 // does.
 func TestLateSince(t *testing.T) {
 	ct, cl := newTestControl(192)
--- a/internal/entry/crashcheck.go
+++ b/internal/entry/crashcheck.go
@@ -43,7 +43,7 @@
 }
 
 // handleDisconnect starts a crash check, or joins the running one, after an endpoint closed
-// the connection of a request. Endpoints also truncate or lose answers, or close
+// the connection of a request. Endpoints also truncate or lose responses, or close
 // connections beyond a limit, without crashing. Such disconnects are not attributed to the
 // request.
 func (ct *control) handleDisconnect(bo front.Disconnect, known chan struct{}) {
--- a/internal/entry/departed.go
+++ b/internal/entry/departed.go
@@ -12,9 +12,9 @@
 	// forgetDepartureAfter is how much newer than the departure the steward's state must
 	// be before the endpoint is no longer excluded from views. An endpoint that was only
 	// cut off from the store registers again with the same incarnation and is then used
-	// again. The steward's state counts rather than this daemon's clock: the store may
-	// reject the steward for longer than this, and servers got requests 4.3 s after they
-	// had announced that they leave.
+	// again. The steward's state counts rather than this daemon's clock, since the store
+	// may reject the steward for longer than this: with this daemon's clock, servers got
+	// requests 4.3 s after they had announced their shutdown.
 	forgetDepartureAfter = 4 * time.Second
 )
 
--- a/internal/entry/departed_test.go
+++ b/internal/entry/departed_test.go
@@ -22,10 +22,10 @@
 	}
 	left := ge.filter(vi)
 	if len(left.Plain) != 2 || left.Plain[0].Incarnation != 6 || left.Plain[1].ID != "i-2" {
-		t.Errorf("remaining endpoints: %v", left.Plain)
+		t.Errorf("remaining endpoints: got %v, want i-1 of incarnation 6 and i-2", left.Plain)
 	}
 	if len(left.Groups) != 1 || left.Groups[0].Name != "new" {
-		t.Errorf("remaining groups: %v", left.Groups)
+		t.Errorf("remaining groups: got %v, want only the group new", left.Groups)
 	}
 }
 
--- a/internal/entry/deputies_test.go
+++ b/internal/entry/deputies_test.go
@@ -105,7 +105,7 @@
 }
 
 // Guards against daemons that restart together, know only the seeds from their settings,
-// and take themselves for deputies. Each read of the store's entries is several calls, and
+// and consider themselves deputies. Each read of the store's entries is several calls, and
 // each change another one.
 func TestStartKnowingSeedsOnly(t *testing.T) {
 	ct, cl := newTestControl(192)
--- a/internal/entry/endpoints.go
+++ b/internal/entry/endpoints.go
@@ -141,8 +141,8 @@
 	if ok && had.Revision > ep.Revision {
 		return
 	}
-	// The endpoint may have announced in an answer that it is leaving before its entry
-	// says so.
+	// The endpoint may have announced its shutdown in a response before its entry shows
+	// it.
 	ep.Leaving = ep.Leaving || ct.da.backpressure.Leaving(ep.Instance())
 	switch {
 	case !ok && ct.firstRead:
@@ -167,7 +167,7 @@
 	}
 }
 
-// endpointLeaving handles an endpoint's announcement in an answer that it will stop soon.
+// endpointLeaving handles an endpoint's announcement in a response that it will stop soon.
 func (ct *control) endpointLeaving(li catalog.Instance) {
 	ep, ok := ct.endpoints[li.ID]
 	if ok && !ep.Incarnation.Differs(li.Incarnation) {
--- a/internal/entry/entries_test.go
+++ b/internal/entry/entries_test.go
@@ -29,7 +29,7 @@
 		for i := range 20 {
 			for _, path := range []string{"/confirm/", "/slot/"} {
 				if id := fmt.Sprint(path, ru.ip, i); sk.send(ru, path, id) != emulator.Body(id) {
-					t.Fatalf("%s at %s: unexpected answer", path, ru.ip)
+					t.Fatalf("%s at %s: the response is not the expected body", path, ru.ip)
 				}
 			}
 		}
--- a/internal/entry/follow.go
+++ b/internal/entry/follow.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	// Only received changes advance the revision: an answer without changes may carry a
+	// Only received changes advance the revision: a response without changes may carry a
 	// revision newer than changes that the watch has not delivered yet.
 	for _, it := range items {
 		fo.after = max(fo.after, it.Revision)
@@ -213,8 +213,8 @@
 	case now.Sub(ct.lastStewardHeartbeat) < freshAfter && ct.steward.StateAge < freshAfter:
 		want = false
 	case following && !ct.isDeputy(now) && now.Sub(ct.deputyConfirmedAt()) < freshAfter:
-		// A deputy was late once. Each daemon that keeps following the store in its place
-		// costs two calls per second and one per change.
+		// The deputy that was late is up to date again. Each other daemon that keeps
+		// following the store costs two calls per second and one per change.
 		want = false
 	}
 	if want == following {
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -25,8 +25,8 @@
 
 const (
 	// leaseTTL is how long a failed steward's lease prevents others from taking over. No
-	// group is repaired in that time, and on bad days a group loses a member every two
-	// seconds. The lease outlasts three renewals against a slow store, which answers in
+	// group is repaired in that time, and under frequent failures a group loses a member
+	// every two seconds. The lease outlasts three renewals against a slow store, which answers in
 	// 400 ms. In outages of the store the promises of the other daemons replace it.
 	leaseTTL = 1800 * time.Millisecond
 	// renewInterval is the interval of lease renewals.
@@ -67,8 +67,8 @@
 	sequence              int64
 	published             *catalog.View
 	endpointsAt, configAt time.Time
-	// unheldSince is the time since which the lease is not certainly held; zero while it
-	// is.
+	// unheldSince is when the lease was first not known to be held; zero while it is known
+	// to be held.
 	unheldSince time.Time
 	// nextStep is the earliest time of the next step.
 	nextStep time.Time
@@ -158,7 +158,7 @@
 	return min(wait, maxRankWait)
 }
 
-// acquireLease acquires the lease if it is free or its holder has certainly ended. It then
+// acquireLease acquires the lease if it is free or its holder has certainly exited. It then
 // renews the lease, and this daemon acts as the steward, until the lease is lost.
 func (ct *control) acquireLease(ctx context.Context) {
 	item, _, err := ct.da.store.Get(ctx, stewardKey)
@@ -373,8 +373,8 @@
 }
 
 // resignNow releases the lease, so that another daemon can acquire it immediately. The
-// store may execute the release at any time without an answer, so from now on only the
-// other daemons' promises show that nobody else is steward.
+// store may execute the release at any time, even if its response is lost, so from now on
+// only the other daemons' promises show that no other daemon is the steward.
 func (ct *control) resignNow() {
 	if ct.lease.core == nil || ct.lease.resigning {
 		return
--- a/internal/entry/leaving_test.go
+++ b/internal/entry/leaving_test.go
@@ -12,7 +12,7 @@
 // Guards against an endpoint's leave notice that stays with the daemon that received it:
 // the others would send requests to the endpoint until the store has the notice, and the
 // steward would replace the endpoint late.
-func TestLeavingInAnswerIsShared(t *testing.T) {
+func TestLeavingInResponseIsShared(t *testing.T) {
 	sk := newStack(t, 3)
 	sk.setStoreFault(emulator.Unresponsive)
 	id := sk.de.IDs("desk")[0]
@@ -44,24 +44,24 @@
 	}
 }
 
-// Guards against a group that stays in use after its head announced that it is leaving: the
+// Guards against a group that stays in use after its leader announced that it is leaving: the
 // steward must form another group with its VMs although the store does not have the notice.
-func TestLeavingHeadIsReplaced(t *testing.T) {
+func TestLeavingLeaderIsReplaced(t *testing.T) {
 	sk := newStack(t, 2)
 	ru := sk.daemons[0]
-	head := ""
+	leader := ""
 	for _, gr := range ru.da.view.Load().Groups {
 		if gr.Model == emulator.ModelLarge {
-			head = gr.Members[0].ID
+			leader = gr.Members[0].ID
 		}
 	}
-	sk.de.Server(head).SetBackpressure(emulator.Backpressure{Leaving: true})
+	sk.de.Server(leader).SetBackpressure(emulator.Backpressure{Leaving: true})
 	sk.until("its group is no longer used", func() bool {
 		sk.send(ru, "/draft/", fmt.Sprint("notice-", time.Now().UnixNano()))
-		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return uses(ru, head) })
+		return !slices.ContainsFunc(sk.daemons, func(ru *testDaemon) bool { return uses(ru, leader) })
 	})
 	sk.until("all VMs but the leaving one serve again", func() bool {
-		return sk.members(ru) >= sk.de.ModelServers-2 && !uses(ru, head)
+		return sk.members(ru) >= sk.de.ModelServers-2 && !uses(ru, leader)
 	})
 	sk.checkInvariants()
 }
--- a/internal/entry/limit_test.go
+++ b/internal/entry/limit_test.go
@@ -66,7 +66,7 @@
 		return len(sv.Arrivals()) > 0
 	})
 	applies := func(ru *testDaemon) bool {
-		// A starting daemon has its register before its first view.
+		// A starting daemon has its tracker before its first view.
 		return ru.da.view.Load() != nil && ru.da.backpressure.Restricted(catalog.Instance{ID: id}, ru.da.Clock.Now())
 	}
 	for _, ru := range sk.daemons {
--- a/internal/entry/promise.go
+++ b/internal/entry/promise.go
@@ -29,8 +29,8 @@
 	// unresponsive daemon is still required.
 	promiseRequiredFor = 8 * time.Second
 	// lapseGrace is how long a steward that does not certainly hold the lease pauses
-	// before it stops being steward, since a heartbeat or two may be lost. Together with
-	// leaseMargin it ends before another daemon can hold the lease.
+	// before it stops being steward, since a heartbeat or two may be lost. It is
+	// shorter than leaseMargin, so it ends before another daemon can acquire the lease.
 	lapseGrace = 200 * time.Millisecond
 	// maxLoggedDaemons bounds the daemons named in a log line.
 	maxLoggedDaemons = 5
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -62,7 +62,7 @@
 	sk.crashOnRequest()
 	sk.sendCrashing(12)
 	if num := sk.de.Crashes(); num < crashesUntilQuarantine || num > crashesUntilQuarantine+extraCrashes {
-		t.Errorf("%d servers crashed under one request", num)
+		t.Errorf("%d servers crashed under one request, want crashesUntilQuarantine plus at most extraCrashes", num)
 	}
 	sk.checkInvariants()
 }
@@ -120,8 +120,8 @@
 }
 
 // Guards against quarantining requests, for a day, because an endpoint truncated its
-// answers without crashing.
-func TestBrokenAnswerIsNoCrash(t *testing.T) {
+// responses without crashing.
+func TestTruncatedResponseIsNoCrash(t *testing.T) {
 	ct, _ := newTestControl(800)
 	ct.da.front, ct.da.table, ct.da.plain = &front.Server{}, &dispatch.Table{}, &dispatch.PlainTable{}
 	ct.da.Clock = clock.System{}
--- a/internal/entry/stall.go
+++ b/internal/entry/stall.go
@@ -18,7 +18,7 @@
 // stepStalls detects groups whose streams have stalled and reports them to the steward. The
 // daemon probes their members itself only in small deployments or without a steward. When
 // all of 68 daemons did so, each pause of a loaded group caused over 1,000 probes, and
-// small machines could not process the answers in time.
+// small machines could not process the responses in time.
 func (ct *control) stepStalls(now time.Time) {
 	ct.reportProgress(now)
 	stalled := ct.da.table.StalledGroups(now)
--- a/internal/entry/steward.go
+++ b/internal/entry/steward.go
@@ -24,7 +24,7 @@
 	lateReportTimeout = 1200 * time.Millisecond
 	// timerSlack is how late a timer may fire before the delay is attributed to this
 	// machine. The CPU quota is enforced in periods of 100 ms, so a throttled process may
-	// leave a received answer unread.
+	// leave a received response unread.
 	timerSlack = 20 * time.Millisecond
 	// orderTimeout bounds an order. If an order is not answered, the steward polls the
 	// endpoint to find out whether it took effect.
--- a/internal/entry/steward_test.go
+++ b/internal/entry/steward_test.go
@@ -51,7 +51,7 @@
 // Guards against a lease that nobody holds after writes took effect but their responses
 // were lost. A daemon that acquired the lease this way must detect it, and some daemon must
 // become steward.
-func TestLostAnswersOfStore(t *testing.T) {
+func TestLostStoreResponses(t *testing.T) {
 	sk := newStack(t, 3)
 	old := sk.steward()
 	sk.setStoreFault(emulator.DropsResponses)
--- a/internal/entry/story_test.go
+++ b/internal/entry/story_test.go
@@ -30,7 +30,7 @@
 				return sk.members(sk.daemons[0]) == 0 && strings.Contains(last, " serving=0 ")
 			})
 			if got := sk.send(sk.daemons[0], "/draft/", id); got != "status 503" {
-				sk.t.Fatalf("got answer %q", got)
+				sk.t.Fatalf("response: got %q, want status 503", got)
 			}
 			return []string{"end: refused, no-group", "steward counted 0 groups that served"}
 		}},
@@ -58,7 +58,7 @@
 				})
 			}
 			if got := sk.send(sk.daemons[0], "/confirm/", id); got != "status 502" {
-				sk.t.Fatalf("got answer %q", got)
+				sk.t.Fatalf("response: got %q, want status 502", got)
 			}
 			return []string{"end: refused, answer-lost", "an attempt failed: may-have-run"}
 		}},
