--- a/internal/front/events_test.go
+++ b/internal/front/events_test.go
@@ -10,6 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// Guards against passing on a part of an event when the stream is truncated, and against
+// taking a truncated stream for a complete one.
 func TestEventReader(t *testing.T) {
 	tests := []struct {
 		name, stream string
@@ -57,6 +59,7 @@
 	}
 }
 
+// For any input, the returned events must be an unchanged prefix of the stream.
 func FuzzEventReader(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n")
 	f.Fuzz(func(t *testing.T, stream string) {
--- a/internal/front/harness_test.go
+++ b/internal/front/harness_test.go
@@ -103,7 +103,7 @@
 
 // addGroup adds a group with a single streaming member.
 func (ri *rig) addGroup(fault func(*http.Request) emulator.Fault) *emulator.Server {
-	sv := ri.start(&emulator.Server{ID: fmt.Sprint("head-", len(ri.groupServers)), Service: "engine", Fault: fault})
+	sv := ri.start(&emulator.Server{ID: fmt.Sprint("leader-", len(ri.groupServers)), Service: "engine", Fault: fault})
 	ri.groupServers = append(ri.groupServers, sv)
 	ri.update()
 	return sv
--- a/internal/front/retry_after_test.go
+++ b/internal/front/retry_after_test.go
@@ -56,7 +56,7 @@
 			}
 			for _, sv := range shedding {
 				if num := numDuringBackOff(sv, backOff); num > backOffSlack {
-					t.Errorf("%s received %d requests during its back-off", sv.ID, num)
+					t.Errorf("%s received %d requests during its back-off, want at most backOffSlack", sv.ID, num)
 				}
 			}
 		})
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -261,6 +261,8 @@
 	}
 }
 
+// Guards against a wrong status for requests that the daemon answers without an endpoint, and
+// against refusing a request without a key on a public route.
 func TestLocallyGeneratedResponses(t *testing.T) {
 	ri := newRig(t)
 	ri.addPlain(nil)
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -19,14 +19,14 @@
 	// callerDelay is the part of the objective that is lost on the network between caller
 	// and daemon and by forwarding events late.
 	callerDelay = 12 * time.Millisecond
-	// resumePollInterval is the interval at which a group to resume a stream is looked for,
-	// and resumeTimeout bounds the search. Callers abort a stream after a gap of 2 s.
+	// resumePollInterval is the time between two attempts to find a group that can resume a
+	// stream, and resumeTimeout bounds the search. Callers abort a stream after a gap of 2 s.
 	resumePollInterval = 25 * time.Millisecond
 	resumeTimeout      = 1500 * time.Millisecond
 	// maxLateWait is the longest predicted wait for a first event that misses its objective.
 	maxLateWait = 1500 * time.Millisecond
-	// latePollInterval is the interval at which a group is looked for after a late request
-	// was delayed.
+	// latePollInterval is the time between two attempts to find a group for a late request
+	// after its delay.
 	latePollInterval = 100 * time.Millisecond
 	// writeTimeout bounds a write to a caller that doesn't read.
 	writeTimeout = 5 * time.Second
@@ -316,7 +316,8 @@
 			st.sv.Table.MarkMisrouted(gr)
 			st.sv.OnMisrouted()
 		} else if ch.Idle {
-			// It is idle but refuses requests, so it would look best again.
+			// An idle group is predicted to be the fastest, so without this the next requests
+			// would be sent to it as well.
 			leader := gr.Leader()
 			st.sv.Backpressure.SetRefused(leader.Instance(), sent, st.sv.Clock.Now())
 		}
@@ -363,7 +364,7 @@
 	return true
 }
 
-// maxGroupsTried bounds the groups that a request is tried at, including those to which no
+// maxGroupsTried bounds the number of groups that a request is tried at, including those to which no
 // connection could be opened.
 const maxGroupsTried = 4
 
