--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -159,7 +159,7 @@
 	// daemons.
 	IP, DataCenter string
 	Port           int
-	// OnHeartbeat is called for each heartbeat that Accept takes.
+	// OnHeartbeat is called for each heartbeat that Accept records.
 	OnHeartbeat func(Heartbeat)
 
 	mu    sync.Mutex
--- a/internal/mesh/intervals_test.go
+++ b/internal/mesh/intervals_test.go
@@ -231,8 +231,8 @@
 }
 
 // Guards against daemons that follow the store although a deputy does so for their
-// data centre. They rely on the age of state that it reports; among 39 daemons the
-// usual interval is a second, so a deputy must send more often.
+// data centre. They rely on the age of state that it reports; with 40 peers in the
+// data centre the usual interval is a second, so a deputy must send more often.
 func TestDeputyHeartbeatInterval(t *testing.T) {
 	const others, span = 160, 4 * time.Second
 	for _, deputy := range []bool{false, true} {
@@ -245,7 +245,7 @@
 			}
 		}
 		if often := least >= int(span/localInterval)-1; often != deputy {
-			t.Errorf("deputy %v: sent %d heartbeats to a daemon of the same data centre in %v", deputy, least, span)
+			t.Errorf("deputy %v: sent %d heartbeats to a daemon of the same data centre in %v, want one per localInterval only from a deputy", deputy, least, span)
 		}
 	}
 }
@@ -273,7 +273,7 @@
 			t.Errorf("crashes or completions sent with work of %v", work)
 		}
 		if got.QuarantineDigest != be.QuarantineDigest {
-			t.Errorf("got quarantine digest %d with work of %v", got.QuarantineDigest, work)
+			t.Errorf("got quarantine digest %d with work of %v, want the encoded one", got.QuarantineDigest, work)
 		}
 	}
 }
