--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -132,21 +132,21 @@
 	return ob
 }
 
-// ProblemsOf converts faults of the configuration to problems with positions in
-// the file, sorted by line.
-func (de *Declaration) ProblemsOf(faults []intent.Problem) []admin.Problem {
-	var problems []admin.Problem
-	for _, fa := range faults {
-		pr := admin.Problem{File: de.file, Key: fa.ID + " " + fa.Key, Reason: fa.Reason}
-		if loc, ok := de.locations[fa.ID]; ok {
-			pr.Line = de.lines.Field(loc.table, loc.nth, fa.Key)
-		} else if fa.Key == "delete" {
+// ProblemsOf adds the positions in the file to problems of the configuration, and
+// sorts them by line.
+func (de *Declaration) ProblemsOf(problems []intent.Problem) []admin.Problem {
+	var located []admin.Problem
+	for _, pb := range problems {
+		pr := admin.Problem{File: de.file, Key: pb.ID + " " + pb.Key, Reason: pb.Reason}
+		if loc, ok := de.locations[pb.ID]; ok {
+			pr.Line = de.lines.Field(loc.table, loc.nth, pb.Key)
+		} else if pb.Key == "delete" {
 			pr.Line = de.lines.TopLevel("delete")
 		}
-		problems = append(problems, pr)
+		located = append(located, pr)
 	}
-	slices.SortStableFunc(problems, func(a, b admin.Problem) int { return a.Line - b.Line })
-	return problems
+	slices.SortStableFunc(located, func(a, b admin.Problem) int { return a.Line - b.Line })
+	return located
 }
 
 // Check reads a file and validates it against the configuration cfg. It returns
