--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -152,6 +152,8 @@
 	ex.record.finish(outcome, err)
 }
 
+// prepare authenticates the caller and reads the headers and the body of the
+// request into ex. The returned context ends at the deadline of the request.
 func (se *Server) prepare(ex *exchange) (context.Context, context.CancelFunc, error) {
 	if !ex.view.Ready && !ex.view.Leaving {
 		return nil, nil, &verdict.Error{Code: verdict.CodeNotReady, Verdict: verdict.NotRun, RetryAfter: time.Second,
