--- a/internal/endpoint/service_test.go
+++ b/internal/endpoint/service_test.go
@@ -116,6 +116,8 @@
 	return ln.Addr().String()
 }
 
+// Guards against a truncated, refused or mismatched response that is taken for a
+// valid one, or is reported with the wrong error code or verdict.
 func TestResponses(t *testing.T) {
 	tests := []struct {
 		name    string
