--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -192,7 +192,7 @@
 	for j := range bookings {
 		key := fmt.Sprint("booking-", j)
 		if runs[key] > 1 {
-			t.Errorf("%s ran %d times", key, runs[key])
+			t.Errorf("%s ran %d times, want at most once", key, runs[key])
 		}
 		if confirmed[j] && runs[key] == 0 {
 			t.Errorf("%s was confirmed and did not run", key)
