--- a/internal/entry/control.go
+++ b/internal/entry/control.go
@@ -46,7 +46,8 @@
 	missing   map[string]time.Time
 	// loggedInvalid are the keys of invalid entries that have been logged.
 	loggedInvalid map[string]bool
-	revision      int64
+	// revision is the store's revision up to which the endpoints have been read.
+	revision int64
 	// firstRead is set while this daemon processes its first full read of the endpoints.
 	firstRead bool
 	departed  departedEndpoints
@@ -71,14 +72,17 @@
 	// joined is set once the daemon knows the other daemons.
 	joined bool
 	// haveAll is set once all endpoints have been read since following began.
-	haveAll            bool
+	haveAll bool
+	// fetching holds the kinds of fetches from other daemons that are in flight.
 	fetching           map[string]bool
 	heartbeatNumber    uint64
 	lastHeartbeatCheck time.Time
 	nextSweep          time.Time
 	nextTotals         time.Time
-	served             bool
-	lease              stewardship
+	// served is set once another daemon has reported that a request from a caller was
+	// received.
+	served bool
+	lease  stewardship
 	// wake wakes the control loop when a postponed step is due.
 	wake *time.Timer
 	// startedAt is when the control loop started.
@@ -299,8 +303,8 @@
 	})
 }
 
-// setConfig decodes and applies a configuration unless the current one is as new. revision
-// is its revision in the store, from the source for the log.
+// setConfig decodes and applies a configuration unless the current one is at least as new.
+// revision is its revision in the store. from names its source: fromStore or a daemon.
 func (ct *control) setConfig(raw []byte, revision int64, from string) {
 	if co := ct.da.config.Load(); co != nil && co.Revision >= revision {
 		return
@@ -321,9 +325,9 @@
 	}
 }
 
-// fromStore is the source of a configuration read from the store. Only such a configuration
-// is announced to the other daemons, since one fetched from a daemon is already known to
-// others.
+// fromStore is the source of a configuration read from the store. Unless the mesh is in
+// direct mode, only such a configuration is announced immediately to the other daemons,
+// since one fetched from a daemon is already known to others.
 const fromStore = "store"
 
 // applyView makes vi the steward view if it is newer than the current one.
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -26,8 +26,9 @@
 const (
 	// leaseTTL is how long a failed steward's lease prevents others from taking over. No
 	// group is repaired in that time, and under frequent failures a group loses a member
-	// every two seconds. The lease outlasts three renewals against a slow store, which answers in
-	// 400 ms. In outages of the store the promises of the other daemons replace it.
+	// every two seconds. The lease outlasts three renewals against a slow store, which
+	// answers in 400 ms. In outages of the store the promises of the other daemons replace
+	// it.
 	leaseTTL = 1800 * time.Millisecond
 	// renewInterval is the interval of lease renewals.
 	renewInterval = 450 * time.Millisecond
@@ -64,8 +65,10 @@
 	resign    context.CancelFunc
 	resigning bool
 	// sequence counts the views of the term. published is the last one.
-	sequence              int64
-	published             *catalog.View
+	sequence  int64
+	published *catalog.View
+	// endpointsAt and configAt are when the store last confirmed the endpoints and the
+	// configuration. They are kept when the lease is acquired or lost.
 	endpointsAt, configAt time.Time
 	// unheldSince is when the lease was first not known to be held; zero while it is known
 	// to be held.
@@ -73,7 +76,8 @@
 	// nextStep is the earliest time of the next step.
 	nextStep time.Time
 	// demandAt is when the core last received the callers' demand.
-	demandAt   time.Time
+	demandAt time.Time
+	// registered is set once the known endpoints have been registered with core.
 	registered bool
 	// sentAt maps heartbeat numbers of the term to their send times since boot. promises
 	// are the daemons' promises, by IP, as of the newest heartbeat that each has
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -35,7 +35,8 @@
 // stream is a request whose response is an event stream.
 type stream struct {
 	*call
-	model  string
+	model string
+	// prompt is the number of prompt tokens, 0 if unknown. tried are the groups tried so far.
 	prompt int64
 	tried  []*dispatch.Group
 	// started is set once the response header was sent to the caller.
@@ -364,8 +365,8 @@
 	return true
 }
 
-// maxGroupsTried bounds the number of groups that a request is tried at, including those to which no
-// connection could be opened.
+// maxGroupsTried bounds the number of groups that a request is tried at, including those to
+// which no connection could be opened.
 const maxGroupsTried = 4
 
 // endNoGroup ends a request for which no group is available.
