--- a/internal/platform/chainstore/chainstore.go
+++ b/internal/platform/chainstore/chainstore.go
@@ -59,7 +59,7 @@
 	Entries []chain.Entry
 }
 
-// UpdateSince reads the changes from revision after to the head.
+// UpdateSince reads the changes that follow revision after, up to the head.
 func (st Store) UpdateSince(ctx context.Context, hd chain.Head, after uint64) (Update, error) {
 	up := Update{Head: hd}
 	from := after
@@ -148,8 +148,8 @@
 
 // ApplyResult is the result of an accepted change.
 type ApplyResult struct {
-	// Revision is the revision that the change created. Update leads to it or a later
-	// one.
+	// Revision is the revision that the change created. Applying Update yields it or a
+	// later one.
 	Revision uint64
 	Update   Update
 	// Snapshotted is set if a new snapshot was written, so that older entries can be
@@ -157,14 +157,14 @@
 	Snapshotted bool
 }
 
-// FaultsError is returned for an invalid change and lists its faults.
+// InvalidConfigError is returned for an invalid change and lists its problems.
 type InvalidConfigError struct{ Problems []intent.Problem }
 
 // Error implements the error interface.
 func (fe *InvalidConfigError) Error() string { return "the configuration is not valid" }
 
 // Apply appends the change to the chain, atomically. An invalid change is refused with
-// FaultsError. Any other error is a verdict.Error, whose verdict says whether the
+// an *InvalidConfigError. Any other error is a verdict.Error, whose verdict says whether the
 // change may be in force. cfg is any known configuration.
 func (st Store) Apply(ctx context.Context, cfg *intent.Config, ap ApplyRequest) (ApplyResult, error) {
 	maybeWritten := false
@@ -215,8 +215,8 @@
 	if err != nil {
 		return ApplyResult{}, false, err
 	}
-	if faults := current.CheckChange(ap.Change); len(faults) > 0 {
-		return ApplyResult{}, false, &InvalidConfigError{Problems: faults}
+	if problems := current.CheckChange(ap.Change); len(problems) > 0 {
+		return ApplyResult{}, false, &InvalidConfigError{Problems: problems}
 	}
 	next, snapshot, err := st.prepare(ctx, hd, current, ap)
 	if err != nil {
--- a/internal/platform/claims/claims_test.go
+++ b/internal/platform/claims/claims_test.go
@@ -301,7 +301,7 @@
 func TestOwnerUnreachable(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		bo := newRegistry(standin.NewStore(clock.System{}))
-		bo.Owner = func(int) string { return "frozen" }
+		bo.Owner = func(int) string { return "suspended" }
 		bo.Forward = func(context.Context, string, claim.Op) (claim.Result, error) {
 			return claim.Result{}, errors.New("timeout")
 		}
--- a/internal/platform/claims/shard.go
+++ b/internal/platform/claims/shard.go
@@ -36,8 +36,8 @@
 	done chan claim.Result
 }
 
-// shard merges the operations on one shard. At most one goroutine works on it at a
-// time, as long as operations are waiting.
+// shard merges the operations on one shard. While operations are waiting, a single
+// goroutine processes them.
 type shard struct {
 	num   int
 	store platform.Store
