--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -45,8 +45,8 @@
 	return sp.from.Before(to) && (sp.to.IsZero() || sp.to.After(from))
 }
 
-// Checker records what clients and servers observe and collects the guarantees that
-// this shows to be violated. Its methods are safe for concurrent use.
+// Checker records what clients and servers observe, and collects the violations of
+// guarantees that it finds. Its methods are safe for concurrent use.
 type Checker struct {
 	// Want returns the complete body of the response to a request. It must be set.
 	Want func(kind Kind, id string) string
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each check reports the violation that it is meant for, and does not report similar
-// outcomes that are allowed.
+// Guards against a check that misses the violation that it is meant for, or reports
+// similar outcomes that are allowed.
 func TestCheckerReportsViolations(t *testing.T) {
 	begin := time.Now()
 	answer := func(kind Kind, status int, body string, disconnected bool) Outcome {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,7 +9,7 @@
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// fault is a disturbance that a run injects.
+// fault describes one kind of fault that a run injects.
 type fault struct {
 	name string
 	// planned faults, such as a graceful stop, do not excuse disconnected requests.
@@ -31,8 +31,8 @@
 	{"store fault for all daemons", false, 2, storeFaultForAll},
 	{"store compaction", false, 1, compactHistory},
 	{"store leases revoked", false, 1, revokeLeases},
-	{"store connection", false, 2, disturbStoreConn},
-	{"server connection", false, 3, disturbServerConn},
+	{"store connection", false, 2, injectStoreConnFault},
+	{"server connection", false, 3, injectServerConnFault},
 	{"server killed", false, 2, killServer},
 	{"server drained", true, 2, drainServer},
 	{"server fails requests", false, 2, failRequests},
@@ -136,13 +136,13 @@
 
 var connFaults = []ConnFault{Delayed, Reset, OneWay, Blackholed}
 
-// disturbStoreConn injects a fault into the connections of a daemon to the store.
-func disturbStoreConn(so *Soak, rnd *rand.Rand, dur time.Duration) {
+// injectStoreConnFault injects a fault into the connections of a daemon to the store.
+func injectStoreConnFault(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	so.injectConnFault(pick(rnd, so.storeTCPProxies), pick(rnd, connFaults), dur)
 }
 
-// disturbServerConn injects a fault into the connections of all daemons to a server.
-func disturbServerConn(so *Soak, rnd *rand.Rand, dur time.Duration) {
+// injectServerConnFault injects a fault into the connections of all daemons to a server.
+func injectServerConnFault(so *Soak, rnd *rand.Rand, dur time.Duration) {
 	so.injectConnFault(so.pickServerProxy(rnd), pick(rnd, connFaults), dur)
 }
 
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -33,8 +33,9 @@
 	return ln.Addr().String()
 }
 
-// A proxy injects faults into connections that are already open. The caller sees a
-// reset, a missing response or, with a delay or no fault, the response.
+// Guards against faults that do not affect connections that are already open. The
+// caller must see a reset, a missing response or, with a delay or no fault, the
+// response.
 func TestProxyInjectsConnFaults(t *testing.T) {
 	for _, fault := range []ConnFault{NoConnFault, Delayed, Reset, OneWay, Blackholed} {
 		pr := &Proxy{Target: echo(t)}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -17,8 +17,8 @@
 	{21, "the checker counted a refusal by a daemon without a configuration as proof that it served the newest version"},
 }
 
+// Guards against overlapping faults that make a caller observe a violated guarantee.
 // Daemons are killed, paused, stopped, disconnected and reconfigured for some seconds.
-// No caller observes a violated guarantee, whichever faults overlap.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts daemons as processes")
