--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -310,7 +310,7 @@
 	return prompt, resumed
 }
 
-// Word returns token i of the answer to a prompt. It depends on nothing else, so that
+// Token returns token i of the answer to a prompt. It depends on nothing else, so that
 // tests can check a complete answer that was resumed on another replica.
 func Token(prompt string, i int) string {
 	hs := fnv.New32a()
