--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// marginBefore is how long before a request's first line related lines may
-	// name its cause: a failure is detected after some 0.3 s, and a group
-	// re-forms within 2 s.
+	// marginBefore is how long before a request's first line related lines
+	// count, because they may name its cause: a failure is detected after some
+	// 0.3 s, and a group re-forms within 2 s.
 	marginBefore = 3 * time.Second
 	// marginAfter is how long after a request's last line related lines count.
 	marginAfter = 500 * time.Millisecond
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -12,10 +12,10 @@
 	"github.com/rogpeppe/go-internal/txtar"
 )
 
-// Each file in testdata holds excerpts of the logs of several daemons, from a real
-// run in which a request failed, the ID of the request in the archive's comment,
-// and the expected output in the file "story", which must name the injected fault.
-// UPDATE_GOLDEN rewrites the expected output.
+// Guards against an explanation that does not name the injected fault. Each file in
+// testdata holds excerpts of the logs of several daemons, from a real run in which a
+// request failed, the ID of the request in the archive's comment, and the expected
+// output in the file "story". UPDATE_GOLDEN rewrites the expected output.
 func TestExplainRequest(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
@@ -60,8 +60,9 @@
 	}
 }
 
-// Read accepts both log formats and skips a notice of lost lines, a malformed time
-// and a truncated line.
+// Guards against lines that are lost or misread in one of the two log formats, and
+// against an error for a notice of lost lines, a malformed time or a truncated line,
+// which Read skips.
 func TestRead(t *testing.T) {
 	log := strings.Join([]string{
 		`time=2026-05-01T10:00:00.250Z level=INFO msg="front: answered." request=ab outcome=refused cause="a \"b\" = c"`,
@@ -83,8 +84,9 @@
 	}
 }
 
-// The state at a time consists of the newest line of each kind before it. Lines
-// about a single group or endpoint expire after recentWindow.
+// Guards against outdated or later lines in the state at a time. The state consists
+// of the newest line of each kind before that time; lines about a single group or
+// endpoint expire after recentWindow.
 func TestStateAt(t *testing.T) {
 	log := `time=2026-05-01T10:00:00Z level=INFO msg="daemon: started." name=one
 time=2026-05-01T10:00:01Z level=INFO msg="control: configuration in force." version=4
