--- a/cmd/corianderhub/explain.go
+++ b/cmd/corianderhub/explain.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"corianderhub.dev/corianderhub/internal/story"
+	"corianderhub.dev/corianderhub/internal/explain"
 )
 
 const explainUsage = `Shows how the daemon at --address handled a request: where it was sent and why,
@@ -57,18 +57,18 @@
 		if err != nil {
 			return &exitError{exitUsage, "--at: " + err.Error()}
 		}
-		return story.Print(to, story.StateAt(lines, at), "")
+		return explain.Print(to, explain.StateAt(lines, at), "")
 	}
-	found := story.RequestLines(lines, ec.Args.RequestID)
+	found := explain.RequestLines(lines, ec.Args.RequestID)
 	if len(found) == 0 {
 		return &exitError{exitFailed, "no log line found for request " + ec.Args.RequestID}
 	}
-	return story.Print(to, found, ec.Args.RequestID)
+	return explain.Print(to, found, ec.Args.RequestID)
 }
 
 // readLogs returns the lines of all logs in order of time.
-func (ec *explainCommand) readLogs() ([]story.Line, error) {
-	var lines []story.Line
+func (ec *explainCommand) readLogs() ([]explain.Line, error) {
+	var lines []explain.Line
 	for _, file := range ec.Logs {
 		read, err := readLog(file)
 		if err != nil {
@@ -76,13 +76,13 @@
 		}
 		lines = append(lines, read...)
 	}
-	story.Sort(lines)
+	explain.Sort(lines)
 	return lines, nil
 }
 
 // readLog reads one log, or standard input if file is "-". The source of its
 // lines is the file's base name without the suffix .log.
-func readLog(file string) ([]story.Line, error) {
+func readLog(file string) ([]explain.Line, error) {
 	from, source := os.Stdin, "stdin"
 	if file != "-" {
 		fi, err := os.Open(file)
@@ -92,7 +92,7 @@
 		defer fi.Close()
 		from, source = fi, strings.TrimSuffix(filepath.Base(file), ".log")
 	}
-	lines, skipped, err := story.Read(source, from)
+	lines, skipped, err := explain.Read(source, from)
 	if skipped > 0 {
 		fmt.Fprintf(os.Stderr, "%s: skipped %d lines that are not log lines of a daemon\n", file, skipped)
 	}
--- a/internal/entry/story_test.go
+++ b/internal/entry/explain_test.go
@@ -6,17 +6,18 @@
 	"strings"
 	"testing"
 
-	"corianderhub.dev/corianderhub/internal/story"
+	"corianderhub.dev/corianderhub/internal/explain"
 	"corianderhub.dev/corianderhub/platform"
 	"corianderhub.dev/corianderhub/platform/emulator"
 )
 
-// Guards against a story that does not explain a failure. For an injected fault, the story
-// built from the request ID and the daemons' logs must name the cause.
-func TestStoryNamesCause(t *testing.T) {
+// Guards against an explanation that leaves out why a request failed. For an injected
+// fault, the explanation built from the request ID and the daemons' logs must name the
+// cause.
+func TestExplainNamesCause(t *testing.T) {
 	tests := []struct {
 		name string
-		// fail makes the request fail and returns the texts that the story must contain.
+		// fail makes the request fail and returns the texts that the explanation must contain.
 		fail func(sk *stack, id string) []string
 	}{
 		{"refused since a group's members were lost", func(sk *stack, id string) []string {
@@ -69,14 +70,14 @@
 			const id = "complaint"
 			want := tc.fail(sk, id)
 			var output bytes.Buffer
-			sk.until("the story contains the cause", func() bool {
-				lines, skipped, err := story.Read("log", strings.NewReader(sk.log.String()))
+			sk.until("the explanation contains the cause", func() bool {
+				lines, skipped, err := explain.Read("log", strings.NewReader(sk.log.String()))
 				if err != nil || skipped > 0 {
 					t.Fatalf("%d lines skipped, error %v", skipped, err)
 				}
-				story.Sort(lines)
+				explain.Sort(lines)
 				output.Reset()
-				if err := story.Print(&output, story.RequestLines(lines, id), id); err != nil {
+				if err := explain.Print(&output, explain.RequestLines(lines, id), id); err != nil {
 					t.Fatal(err)
 				}
 				for _, text := range want {
--- a/internal/story/line.go
+++ b/internal/explain/line.go
@@ -1,7 +1,7 @@
-// Package story reads the logs of daemons and explains how a request was
+// Package explain reads the logs of daemons and explains how a request was
 // handled, or which state a daemon was in at a given time. It matches messages
 // and attribute keys letter for letter, also in logs that other builds wrote.
-package story
+package explain
 
 import (
 	"bufio"
--- a/internal/story/story.go
+++ b/internal/explain/request.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"fmt"
@@ -46,15 +46,15 @@
 		return nil
 	}
 	viewIndex := lastView(lines, first)
-	var story []Line
+	var found []Line
 	for i, li := range lines {
 		meanwhile := !li.At.Before(first.Add(-marginBefore)) && !li.At.After(last.Add(marginAfter))
 		crashed := !li.At.After(last) && reportsCrash(&li, content)
 		if li.Get("request") == id || i == viewIndex || crashed || meanwhile && isRelated(&li, targets, sources) {
-			story = append(story, li)
+			found = append(found, li)
 		}
 	}
-	return story
+	return found
 }
 
 // reportsCrash reports whether a line records that an endpoint crashed under
--- a/internal/story/story_test.go
+++ b/internal/explain/request_test.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"bytes"
